--- a/hazellead/__main__.py
+++ b/hazellead/__main__.py
@@ -257,7 +257,7 @@
             await asyncio.sleep(self.limits.drain_pause.total_seconds())  # they are answered, then passed on
         while not self.life.succeeded and self.takes_jobs():
             await asyncio.sleep(self.limits.drain_look.total_seconds())
-        self.server.close_idle()
+        self.server.close_all_when_idle()
         # The listeners stay open meanwhile: call-backs and Gearman workers' reports arrive there.
         empty = asyncio.Event()
         self.scheduler.when_empty(empty.set)
--- a/hazellead/console/front.py
+++ b/hazellead/console/front.py
@@ -41,7 +41,7 @@
 
     def handle(self, exchange: Exchange) -> None:
         """Answer one call."""
-        method, target, _ = exchange.message.first
+        method, target, _ = exchange.message.start_line
         wanted, call = self._calls.get(target.partition("?")[0], ("", None))
         if call is None:
             exchange.respond(404, b"no such call\n")
--- a/hazellead/gearman/server.py
+++ b/hazellead/gearman/server.py
@@ -157,7 +157,7 @@
         stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         connection = GearmanConnection(self, stream, str(address[0]))
         self.open[connection] = None
-        self.aside(self._run(connection))
+        self.run_in_background(self._run(connection))
 
     async def _run(self, connection: GearmanConnection) -> None:
         try:
@@ -165,7 +165,7 @@
         finally:
             self.open.pop(connection, None)
 
-    def spare(self) -> None:
+    def free_descriptor(self) -> None:
         """End a connection that has said nothing."""
         self._make_room()
 
--- a/hazellead/lab/capacity/hollow_discovery.py
+++ b/hazellead/lab/capacity/hollow_discovery.py
@@ -55,7 +55,7 @@
     def asked(self, call: _Call, message: http.Message, size: int) -> None:
         """Take one call in."""
         self._discovery.counts.note(self.scheduler, "watch", inward=False, size=size)
-        url = urlsplit(message.first[1])
+        url = urlsplit(message.start_line[1])
         query = parse_qs(url.query)
         if url.path != "/discovery/hosts":
             self._answer(call, 404, b"")
--- a/hazellead/lab/capacity/hollow_workers.py
+++ b/hazellead/lab/capacity/hollow_workers.py
@@ -31,7 +31,7 @@
 
     def took(self, message: http.Message, size: int) -> None:
         """Answer one request."""
-        at, (method, target, _) = self._at, message.first
+        at, (method, target, _) = self._at, message.start_line
         kind = {"POST": "push", "DELETE": "delete"}.get(method, "probe")
         at.counts.note(at.scheduler, kind, inward=False, size=size, body=len(message.body))
         status, headers = at.handle(method, target, message)
--- a/hazellead/lab/soak/discovery.py
+++ b/hazellead/lab/soak/discovery.py
@@ -141,7 +141,7 @@
     async def _serve(self, line: ServerConnection, message: Message) -> None:
         if line in self._silent:
             return
-        query = parse_qs(urlsplit(message.first[1]).query)
+        query = parse_qs(urlsplit(message.start_line[1]).query)
         index = int(query["index"][0]) if "index" in query else None
         wait = int(query.get("wait", ["0"])[0]) / 1000
         continues = _now() - self._answered.get(line, -1.0) <= CONTINUES_S
--- a/hazellead/lab/soak/workers.py
+++ b/hazellead/lab/soak/workers.py
@@ -88,7 +88,7 @@
     # Requests.
 
     def _take(self, line: ServerConnection, message: http.Message) -> None:
-        method, target, _ = message.first
+        method, target, _ = message.start_line
         if method == "GET":
             line.answer(200 if self.mode is not Mode.FULL else 503)
         elif method == "DELETE":
--- a/hazellead/lab/sockets.py
+++ b/hazellead/lab/sockets.py
@@ -125,7 +125,7 @@
         task.add_done_callback(self._tasks.discard)
 
     def _handle(self, exchange: Exchange) -> None:
-        method, target, _ = exchange.message.first
+        method, target, _ = exchange.message.start_line
         if self.worker.life in (Life.DOWN, Life.SILENT):
             return  # no answer; the connection stays open and quiet
         if method == "GET":
@@ -172,7 +172,7 @@
         for stream in self._idle:
             stream.close()
         for connection in list(self._server.connections):
-            connection.turn_away(503, "ending")
+            connection.reject(503, "ending")
         self._server._sweeper.stop()
 
 
--- a/hazellead/lifecycle/handover.py
+++ b/hazellead/lifecycle/handover.py
@@ -281,7 +281,7 @@
                 break
             channel.send(
                 "connections", [m.sock for m in some], read=[base64.b64encode(m.read).decode() for m in some],
-                flags=["p" * m.proven + "l" * m.lasting for m in some])
+                flags=["p" * m.proven + "l" * m.from_worker for m in some])
 
     def _over(self, reason: str) -> None:
         step, self._step, channel, self.channel = self._step, _Step.ALONE, self.channel, None
--- a/hazellead/net/__init__.py
+++ b/hazellead/net/__init__.py
@@ -1,1 +1,1 @@
-"""Byte streams and HTTP/1.1, for whatever stands on them."""
+"""Byte streams, HTTP/1.1 and accepting of connections."""
--- a/hazellead/net/accept.py
+++ b/hazellead/net/accept.py
@@ -1,4 +1,4 @@
-"""Accepts connections so that descriptors stay within their bounds, and goes on when there are none left."""
+"""A listener that accepts connections one by one and pauses while no file descriptor is left."""
 
 import asyncio
 import socket
@@ -16,29 +16,29 @@
 
 
 class Listener(TCPServer):
-    """A server that takes each connection in before it accepts the next.
+    """A TCP server that starts handling each connection before it accepts the next.
 
-    Guards the descriptors set aside for discovery and workers: Tornado's own server accepts 128 connections
-    before the first of them is counted. Guards the processor too: without a descriptor left it would be told
-    of the same connection again and again.
+    Tornado's own server accepts 128 connections before the first of them is counted, which could use up the
+    descriptors reserved for discovery and workers. It would also spin when no descriptor is left, since the
+    pending connection is reported again in every turn of the event loop.
     """
 
     def __init__(self, limits: Limits) -> None:
-        """Accept nowhere yet."""
+        """Start with no listening socket."""
         super().__init__(max_buffer_size=4 * limits.read)
         self.limits = limits
-        self._short = False  # the last accept failed
+        self._last_accept_failed = False
         self._running: set[asyncio.Future[None]] = set()
 
     def add_sockets(self, sockets: Iterable[socket.socket]) -> None:
-        """Accept on these, too."""
+        """Accept connections on these listening sockets, too."""
         for sock in sockets:
             sock.setblocking(False)
             self._sockets[sock.fileno()] = sock
-            self._look(sock)
+            self._start_accepting(sock)
 
     def pause(self) -> list[socket.socket]:
-        """Accept no more and return the listening sockets, open; ``add_sockets`` goes on with them."""
+        """Stop accepting and return the open listening sockets; ``add_sockets`` resumes accepting."""
         sockets = list(self._sockets.values())
         for remove in self._handlers.values():
             remove()
@@ -46,43 +46,43 @@
         self._handlers.clear()
         return sockets
 
-    def spare(self) -> None:
-        """End a connection that can be spared; called when no descriptor is left."""
+    def free_descriptor(self) -> None:
+        """Close a connection that may be closed; called when no descriptor is left. Does nothing here."""
 
-    def aside(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run a connection's work beside the accepting."""
+    def run_in_background(self, work: Coroutine[Any, Any, None]) -> None:
+        """Run a connection's coroutine as a task."""
         running = asyncio.ensure_future(work)
         self._running.add(running)
         running.add_done_callback(self._running.discard)
 
-    def _look(self, sock: socket.socket) -> None:
+    def _start_accepting(self, sock: socket.socket) -> None:
         loop = IOLoop.current()
         loop.add_handler(sock, self._accept, IOLoop.READ)
         self._handlers[sock.fileno()] = lambda: loop.remove_handler(sock)
 
     def _accept(self, sock: socket.socket, _: int) -> None:
         for _ in range(self.limits.accepts):
-            if sock.fileno() not in self._handlers:  # stopped by what was just accepted
+            if sock.fileno() not in self._handlers:  # the last accepted connection stopped the listener
                 return
             try:
                 connection, address = sock.accept()
             except BlockingIOError:
                 return
-            except ConnectionAbortedError:  # it left before its turn
+            except ConnectionAbortedError:  # the client disconnected before the accept
                 continue
             except OSError as error:
-                self._rest(sock, error)
+                self._pause_accepting(sock, error)
                 return
-            self._short = False
+            self._last_accept_failed = False
             self._handle_connection(connection, address)
 
-    def _rest(self, sock: socket.socket, error: OSError) -> None:
-        """Out of descriptors: make room, and look again a little later."""
-        if not self._short:
+    def _pause_accepting(self, sock: socket.socket, error: OSError) -> None:
+        """Stop accepting for a short pause, after closing a connection if possible: no descriptor is left."""
+        if not self._last_accept_failed:
             log.warning("accept_failed", reason=error.strerror)
-        self._short = True
-        self.spare()
+        self._last_accept_failed = True
+        self.free_descriptor()
         loop = IOLoop.current()
         self._handlers[sock.fileno()]()
-        timer = loop.call_later(self.limits.accept_pause / timedelta(seconds=1), self._look, sock)
-        self._handlers[sock.fileno()] = lambda: loop.remove_timeout(timer)  # where it is stopped meanwhile
+        timer = loop.call_later(self.limits.accept_pause / timedelta(seconds=1), self._start_accepting, sock)
+        self._handlers[sock.fileno()] = lambda: loop.remove_timeout(timer)  # if stopped during the pause
--- a/hazellead/net/client.py
+++ b/hazellead/net/client.py
@@ -1,4 +1,4 @@
-"""A connection that this side opened: one HTTP/1.1 exchange at a time on it."""
+"""The client's side of an HTTP/1.1 connection: one request and response at a time."""
 
 import asyncio
 from contextlib import suppress
@@ -10,36 +10,40 @@
 
 
 class ClientConnection:
-    """A stream and the read that is begun on it, whether or not an answer is awaited.
+    """A stream with a pending read, which is kept open even while no response is awaited.
 
-    Guards against a second answer to one request: it may come while the connection rests, and would pass for
-    the answer to the next. A look at the socket does not find it, since the stream reads of itself.
+    A server may answer one request twice. The second answer may arrive while the connection is idle and would
+    be taken for the answer to the next request. Peeking at the socket does not find it, since the stream
+    reads into its own buffer.
     """
 
     def __init__(self, stream: IOStream, limits: Limits) -> None:
-        """Take an open stream over."""
+        """Take over an open stream."""
         self.stream, self._limits = stream, limits
         self._reading: asyncio.Future[bytes] | None = None
 
     @property
     def quiet(self) -> bool:
-        """Say whether it is open and nothing has come that was not asked for; asked between exchanges."""
+        """Whether it is open and has received nothing unsolicited; to be read between exchanges."""
         with suppress(StreamClosedError):
             self._reading = self._reading or self._begin_read()
             return not self._reading.done()
         return False
 
     @property
-    def unasked(self) -> bool:
-        """Say whether bytes have come that nothing asked for."""
+    def has_unsolicited_data(self) -> bool:
+        """Whether bytes have been received that answer no request."""
         return self._reading is not None and self._reading.done() and not self._reading.exception()
 
     def close(self) -> None:
-        """End it."""
+        """Close the stream."""
         self.stream.close()
 
     async def response(self, limits: Limits) -> Message:
-        """Read one response; StreamClosedError if the connection ends first, HttpError if it is malformed."""
+        """Read one response; informational ones (1xx) are skipped.
+
+        Raises StreamClosedError if the connection ends first and HttpError if the response is malformed.
+        """
         parser = Parser(limits, responses=True)
         while True:
             try:
@@ -51,7 +55,7 @@
                 raise
             while message := parser.next():
                 if message.status >= 200:
-                    if not parser.empty:  # bytes that nothing asked for: it cannot be trusted again
+                    if not parser.empty:  # unsolicited bytes: the connection must not be used again
                         self.close()
                     return message
 
@@ -62,5 +66,5 @@
 
 
 async def read_response(stream: IOStream, limits: Limits) -> Message:
-    """Read one response from a stream of one's own."""
+    """Read one response from a stream that is not in a connection pool; raises as ``response`` does."""
     return await ClientConnection(stream, limits).response(limits)
--- a/hazellead/net/http.py
+++ b/hazellead/net/http.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 parser that is fed bytes and gives whole messages, and the writing of messages."""
+"""HTTP/1.1 without I/O: an incremental parser, and functions that encode requests and responses."""
 
 import re
 from dataclasses import dataclass
@@ -12,104 +12,104 @@
     501: "Not Implemented", 502: "Bad Gateway", 503: "Service Unavailable", 505: "Version Not Supported",
 }
 _TOKEN = re.compile(r"[!#$%&'*+.^_`|~0-9A-Za-z-]+\Z")
-_TARGET = re.compile(r"(?:[0-9A-Za-z._~!$&'()*+,;=:@/?-]|%[0-9A-Fa-f]{2})+\Z")  # as RFC 3986 has it
-_BEGINNING = re.compile(rb"(?:\r\n)*(?:\r?\Z|[A-Z]{1,16}(?:\Z| \Z| [/*h]))")
-_VALUE = re.compile(r"[\t -~\x80-\xff]*\Z")  # no other control characters
+_TARGET = re.compile(r"(?:[0-9A-Za-z._~!$&'()*+,;=:@/?-]|%[0-9A-Fa-f]{2})+\Z")  # RFC 3986
+_REQUEST_BEGINNING = re.compile(rb"(?:\r\n)*(?:\r?\Z|[A-Z]{1,16}(?:\Z| \Z| [/*h]))")
+_HEADER_VALUE = re.compile(r"[\t -~\x80-\xff]*\Z")  # no control characters but the tab
 
 
 class HttpError(Exception):
-    """What came is not to be served; ``status`` is the answer to it."""
+    """A message that is malformed, too large or not supported; ``status`` is the status to answer with."""
 
-    def __init__(self, status: int, why: str) -> None:
-        """Keep the answer and the reason."""
-        super().__init__(why)
+    def __init__(self, status: int, reason: str) -> None:
+        """Store the status and the reason."""
+        super().__init__(reason)
         self.status = status
 
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """One request (method, target, version) or response (version, status, reason)."""
+    """One request or response."""
 
-    first: tuple[str, str, str]
+    start_line: tuple[str, str, str]  # method, target, version; of a response: version, status, reason
     headers: dict[str, str]  # names in lower case
     body: bytes
     keep: bool  # the connection may carry another message
 
     @property
     def status(self) -> int:
-        """Return a response's status."""
-        return int(self.first[1])
+        """A response's status code."""
+        return int(self.start_line[1])
 
 
 class Parser:
-    """Cuts a connection's bytes into messages. Never holds more than one head, one body and one read."""
+    """Splits a connection's bytes into messages. Buffers at most one head, one body and one read."""
 
     def __init__(self, limits: Limits, *, responses: bool = False) -> None:
-        """Start between messages."""
+        """Start between two messages."""
         self._limits, self._responses = limits, responses
         self._buffer = bytearray()
         self._head: tuple[tuple[str, str, str], dict[str, str], bool] | None = None
-        self._need = 0  # bytes of the body, or -1: chunked, -2: until the connection ends
-        self._body = bytearray()  # of chunks
-        self._trailing = False
+        self._body_size = 0  # in bytes; -1: chunked encoding, -2: until the connection ends
+        self._body = bytearray()  # decoded from chunks
+        self._in_trailers = False
 
     @property
     def empty(self) -> bool:
-        """Say whether no part of a message has come."""
+        """Whether no part of a message is buffered."""
         return self._head is None and not self._buffer
 
     @property
     def size(self) -> int:
-        """Return how many bytes are held."""
+        """Number of buffered bytes."""
         return len(self._buffer) + len(self._body)
 
     @property
-    def unread(self) -> bytes | None:
-        """Return what has come of the next message as it came; None once its head has been taken."""
+    def unparsed(self) -> bytes | None:
+        """The received bytes of the next message; None once its head has been parsed."""
         return bytes(self._buffer) if self._head is None else None
 
     @property
-    def may_go_on(self) -> bool:
-        """Say whether what lies here after a request can be the beginning of another."""
-        return self._head is not None or bool(_BEGINNING.match(self._buffer))
+    def rest_is_plausible(self) -> bool:
+        """Whether the bytes buffered after a request can be the beginning of another."""
+        return self._head is not None or bool(_REQUEST_BEGINNING.match(self._buffer))
 
     @property
     def expects_continue(self) -> bool:
-        """Say whether the sender of a head waits to be told to go on."""
+        """Whether a head has been parsed whose sender waits for "100 Continue" before it sends the body."""
         return self._head is not None and self._head[1].get("expect", "").lower() == "100-continue"
 
     @property
     def full(self) -> bool:
-        """Say whether enough lies here that no more should be read until a message is taken."""
+        """Whether so much is buffered that nothing should be fed until a message has been taken."""
         return len(self._buffer) > self._limits.head + self._limits.body
 
     def feed(self, data: bytes) -> None:
-        """Add what was read."""
+        """Add bytes read from the connection."""
         self._buffer += data
 
     def next(self) -> Message | None:
-        """Return the next whole message, if one has come."""
+        """Return the next complete message, or None; raises HttpError if it is malformed or too large."""
         if self._head is None and not self._take_head():
             return None
         assert self._head is not None
-        if self._need == -2:
+        if self._body_size == -2:
             if len(self._buffer) > self._limits.body:
                 raise HttpError(413, "body too large")
             return None
-        if self._need == -1:
+        if self._body_size == -1:
             if not self._take_chunks():
                 return None
             body = bytes(self._body)
         else:
-            if len(self._buffer) < self._need:
+            if len(self._buffer) < self._body_size:
                 return None
-            body = bytes(self._buffer[:self._need])
-            del self._buffer[:self._need]
+            body = bytes(self._buffer[:self._body_size])
+            del self._buffer[:self._body_size]
         return self._finish(body)
 
     def at_end(self) -> Message | None:
-        """Return the message that the end of the connection completes, if it is one."""
-        if self._head is None or self._need != -2:
+        """Return the message whose body ends with the connection, or None if there is none."""
+        if self._head is None or self._body_size != -2:
             return None
         body = bytes(self._buffer)
         self._buffer.clear()
@@ -117,12 +117,12 @@
 
     def _finish(self, body: bytes) -> Message:
         assert self._head is not None
-        first, headers, keep = self._head
-        self._head, self._body, self._trailing = None, bytearray(), False
-        return Message(first, headers, body, keep)
+        start_line, headers, keep = self._head
+        self._head, self._body, self._in_trailers = None, bytearray(), False
+        return Message(start_line, headers, body, keep)
 
     def _take_head(self) -> bool:
-        while self._buffer[:2] == b"\r\n":  # an empty line before a message is to be passed over
+        while self._buffer[:2] == b"\r\n":  # empty lines before a message are skipped
             del self._buffer[:2]
         end = self._buffer.find(b"\r\n\r\n")
         if (len(self._buffer) if end < 0 else end) > self._limits.head:
@@ -133,24 +133,24 @@
         del self._buffer[:end + 4]
         if len(lines) > self._limits.headers + 1:
             raise HttpError(431, "too many headers")
-        first = self._first(lines[0])
+        start_line = self._parse_start_line(lines[0])
         headers: dict[str, str] = {}
         for line in lines[1:]:
             name, colon, value = line.partition(":")
             name, value = name.lower(), value.strip(" \t")
-            if not colon or not _TOKEN.match(name) or not _VALUE.match(value):
+            if not colon or not _TOKEN.match(name) or not _HEADER_VALUE.match(value):
                 raise HttpError(400, "malformed header")
             if name in headers and name in ("content-length", "host", "transfer-encoding"):
                 raise HttpError(400, f"more than one {name}")
             headers[name] = f"{headers[name]}, {value}" if name in headers else value
-        version = first[0] if self._responses else first[2]
+        version = start_line[0] if self._responses else start_line[2]
         tokens = {t.strip().lower() for t in headers.get("connection", "").split(",")}
         keep = "close" not in tokens and (version == "HTTP/1.1" or "keep-alive" in tokens)
-        self._need = self._length(first, headers)
-        self._head = first, headers, keep and self._need != -2
+        self._body_size = self._body_size_of(start_line, headers)
+        self._head = start_line, headers, keep and self._body_size != -2
         return True
 
-    def _first(self, line: str) -> tuple[str, str, str]:
+    def _parse_start_line(self, line: str) -> tuple[str, str, str]:
         parts = line.split(" ", 2)
         if len(parts) < 3 and not (self._responses and len(parts) == 2):
             raise HttpError(400, "malformed first line")
@@ -164,11 +164,11 @@
             raise HttpError(400, "malformed first line")
         return a, b, c
 
-    def _length(self, first: tuple[str, str, str], headers: dict[str, str]) -> int:
-        if self._responses and (first[1] in ("204", "304") or first[1].startswith("1")):
+    def _body_size_of(self, start_line: tuple[str, str, str], headers: dict[str, str]) -> int:
+        if self._responses and (start_line[1] in ("204", "304") or start_line[1].startswith("1")):
             return 0
         if "transfer-encoding" in headers:
-            # Guards against smuggling: two framings of one message are one too many.
+            # Prevents request smuggling: a message with two kinds of framing is ambiguous.
             if "content-length" in headers or headers["transfer-encoding"].lower() != "chunked":
                 raise HttpError(400, "unclear framing")
             return -1
@@ -183,7 +183,7 @@
 
     def _take_chunks(self) -> bool:
         while (end := self._buffer.find(b"\r\n")) >= 0:
-            if self._trailing:  # trailers are passed over
+            if self._in_trailers:  # trailers are skipped
                 del self._buffer[:end + 2]
                 if end == 0:
                     return True
@@ -195,7 +195,7 @@
             if len(self._body) + length > self._limits.body:
                 raise HttpError(413, "body too large")
             if length == 0:
-                self._trailing = True
+                self._in_trailers = True
                 del self._buffer[:end + 2]
                 continue
             if len(self._buffer) < end + length + 4:
@@ -204,7 +204,7 @@
                 raise HttpError(400, "malformed chunk")
             self._body += self._buffer[end + 2:end + 2 + length]
             del self._buffer[:end + length + 4]
-        if len(self._buffer) > (self._limits.head if self._trailing else self._limits.chunk_line):
+        if len(self._buffer) > (self._limits.head if self._in_trailers else self._limits.chunk_line):
             raise HttpError(400, "malformed chunk")
         return False
 
@@ -212,7 +212,7 @@
 def response(
     status: int, body: bytes = b"", *, keep: bool = True, headers: dict[str, str] | None = None,
 ) -> bytes:
-    """Write a response."""
+    """Encode a response."""
     lines = [f"HTTP/1.1 {status} {REASONS.get(status, 'Unknown')}", f"Content-Length: {len(body)}"]
     lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
     if not keep:
@@ -223,7 +223,7 @@
 def request(
     method: str, target: str, host: str, headers: dict[str, str] | None = None, body: bytes = b"",
 ) -> bytes:
-    """Write a request."""
+    """Encode a request."""
     lines = [f"{method} {target} HTTP/1.1", f"Host: {host}"]
     lines += [f"{name}: {value}" for name, value in (headers or {}).items()]
     if body or method == "POST":
--- a/hazellead/net/server.py
+++ b/hazellead/net/server.py
@@ -1,4 +1,4 @@
-"""Serves HTTP/1.1 on IOStreams: one request at a time on each connection, one answer to each request."""
+"""An HTTP/1.1 server on IOStreams: one request at a time per connection, one answer per request."""
 
 import asyncio
 import socket
@@ -22,71 +22,71 @@
 
 log = structlog.get_logger()
 
-_LOOKED_AT = 8  # of the oldest in each state, when one has to make room
-UNUSABLE = frozenset({400, 404, 405, 409, 413, 431})  # after these answers the connection ends
+_EVICTION_CANDIDATES = 8  # oldest connections examined in each state when one has to be closed for a new one
+CLOSING_STATUSES = frozenset({400, 404, 405, 409, 413, 431})  # answers after which the connection is closed
 
 
 class Exchange:
-    """One request and the way to answer it. ``on_gone`` is called if the client leaves before the answer."""
+    """One request and its answer. ``on_disconnect`` is called if the client disconnects before the answer."""
 
-    __slots__ = ("answer", "job", "lasting", "message", "on_gone")
+    __slots__ = ("answer", "from_worker", "job", "message", "on_disconnect")
 
     def __init__(self, message: Message) -> None:
-        """Start unanswered."""
+        """Start with no answer."""
         self.message = message
         self.answer: asyncio.Future[tuple[int, bytes, dict[str, str]]] = asyncio.Future()
-        self.on_gone: Callable[[], None] | None = None
-        self.job: int | None = None  # the number of the job that it became
-        self.lasting = False  # not a client's: its connection stays while clients' are ended
+        self.on_disconnect: Callable[[], None] | None = None
+        self.job: int | None = None  # the scheduler's number of the job that was made from it
+        self.from_worker = False  # a worker's call-back: its connection stays open while clients' are closed
 
     def respond(self, status: int, body: bytes = b"", headers: dict[str, str] | None = None) -> None:
-        """Answer; of no effect once it is answered or the client has gone."""
+        """Answer the request; does nothing if it has been answered or the client has disconnected."""
         if not self.answer.done():
             self.answer.set_result((status, body, headers or {}))
 
 
 class State(Enum):
-    """Where a connection stands. All but the last can make room for a new one, in this order."""
+    """State of a connection. All but PROCESSING can be closed to make room for a new one, in this order."""
 
-    LINGERING = 0  # it has had its last answer
-    SILENT = 1  # it has not said anything yet
-    RESTING = 2  # between requests
-    SENDING = 3  # a part of a request has come
-    IN_HAND = 4  # a request is worked on or answered
+    LINGERING = 0  # the last answer is written; the client may still read it
+    NEW = 1  # no byte received yet
+    KEEP_ALIVE = 2  # between two requests
+    RECEIVING = 3  # a request has been received in part
+    PROCESSING = 4  # a request is being processed or answered
 
 
 class Connection:
-    """One client's connection: it waits, a request comes in, is in hand, is answered; then it waits again."""
+    """One client's connection: receives a request, has it processed, answers it and waits for the next."""
 
     def __init__(self, server: "HttpServer", stream: IOStream) -> None:
-        """Start waiting."""
+        """Start in state NEW."""
         self._server, self._stream, self._parser = server, stream, Parser(server.limits)
         self._reading: asyncio.Future[bytes] | None = None
-        self.since = server.clock.now()  # of the present state
-        self.exchange: Exchange | None = None  # the request in hand
-        self.proven = False  # it has brought a request that could be taken
-        self.lasting = False  # the last request was not a client's
-        self.weight = 0  # bytes held for it
-        self._dropped = 0  # bytes that were read and dropped
+        self.since = server.clock.now()  # when the state's timeout began to run
+        self.exchange: Exchange | None = None  # the request being processed
+        self.proven = False  # at least one valid request was received
+        self.from_worker = False  # the last request was a worker's call-back
+        self.buffered_bytes = 0  # of a request that is not complete
+        self._discarded_bytes = 0  # read while the parser's buffer was full
         self.closing = self._ended = False
         self.state: State | None = None
-        self.turn(State.SILENT)
+        self.enter(State.NEW)
 
     @property
     def idle(self) -> bool:
-        """Say whether no part of a request has come and no answer is under way."""
-        come = self._reading is not None and self._reading.done()  # read, and not yet taken apart
-        return self.exchange is None and self._parser.empty and not come and not self._stream.writing()
+        """Whether no part of a request has been received and no answer is being written."""
+        unparsed = self._reading is not None and self._reading.done()  # bytes read and not yet parsed
+        return self.exchange is None and self._parser.empty and not unparsed and not self._stream.writing()
 
     @property
     def quiet(self) -> bool:
-        """Say whether it is idle, and nothing unread has come on it either."""
+        """Whether it is idle, open and has no unread bytes in the socket's buffer."""
         return self.idle and alive(self._stream)
 
     async def run(self) -> None:
-        """Serve until either side ends the connection."""
+        """Serve requests until either side closes the connection."""
         try:
-            # One that another process has passed on may have its request in hand.
+            # A connection passed on by another process may come with a request being processed.
             if self.exchange and (not await self._finish(self.exchange) or self.closing):
                 return
             while message := await self._message():
@@ -97,35 +97,35 @@
         except StreamClosedError:
             if self.exchange:
                 self.exchange.answer.cancel()
-                if self.exchange.on_gone:
-                    self.exchange.on_gone()
+                if self.exchange.on_disconnect:
+                    self.exchange.on_disconnect()
         finally:
-            self.turn(State.LINGERING)
-            self._weigh(0)
+            self.enter(State.LINGERING)
+            self._update_buffered_bytes(0)
             if not self._stream.closed():
                 await close_gently(self._stream, self._server.limits, self._reading)
 
     async def _message(self) -> Message | None:
-        """Read the next request; None when the connection is to end between requests."""
+        """Read the next request; returns None if the connection is to be closed between requests."""
         continued = False
         while (message := self._parser.next()) is None:
             if self.closing and self._parser.empty:
                 return None
-            if self.state is not State.SENDING and not self._parser.empty:
-                # Guards against one that drips: the time for a request runs from its first byte, and that for
-                # the first request from the connection's start. Empty lines are no beginning.
+            if self.state is not State.RECEIVING and not self._parser.empty:
+                # Bounds clients that send a few bytes at a time: the timeout of a request runs from its first
+                # byte, that of the first request from the accept. Empty lines do not begin a request.
                 self.since = self._server.clock.now() if self.proven else self.since
-                self.turn(State.SENDING)
+                self.enter(State.RECEIVING)
             if self._parser.expects_continue and not continued:
                 continued = True
                 await self._stream.write(b"HTTP/1.1 100 Continue\r\n\r\n")
             await self._read()
             if self._ended:
-                # Guards against posting twice: a client whose request crosses the close sends it once more.
+                # Prevents running a job twice: a client whose request crosses the close sends it again.
                 return None
-        self._weigh(self._parser.size)
-        if not self._parser.may_go_on:
-            # Guards against a length that is too small: what was cut short must not run as if it were whole.
+        self._update_buffered_bytes(self._parser.size)
+        if not self._parser.rest_is_plausible:
+            # A Content-Length that is too small truncates the request, which must not run as if complete.
             raise HttpError(400, "bytes after the request that begin no other")
         return message
 
@@ -135,39 +135,39 @@
         self._reading = None
         if not self._parser.full:
             self._parser.feed(data)
-            self._weigh(self._parser.size)
+            self._update_buffered_bytes(self._parser.size)
             return
-        # Guards against a client that floods and goes: its leaving shows only behind all that it sent. What
-        # is dropped crosses the close after this answer.
-        self.closing, self._dropped = True, self._dropped + len(data)
-        if self._dropped > self._server.limits.behind:
-            exchange, self.exchange = self.exchange, None  # it is ended as any that takes no answer
-            if exchange and exchange.on_gone:
-                exchange.on_gone()
+        # A client that sends a flood and disconnects is noticed only once all its bytes are read, so reading
+        # goes on and discards them. They cross the close that follows this answer.
+        self.closing, self._discarded_bytes = True, self._discarded_bytes + len(data)
+        if self._discarded_bytes > self._server.limits.behind:
+            exchange, self.exchange = self.exchange, None  # its job is abandoned, as after a disconnect
+            if exchange and exchange.on_disconnect:
+                exchange.on_disconnect()
             raise HttpError(413, "too much behind a request")
 
     def _begin_read(self) -> asyncio.Future[bytes]:
         return asyncio.ensure_future(self._stream.read_bytes(self._server.limits.read, partial=True))
 
-    def _weigh(self, size: int) -> None:
-        self._server.holds(self, size - self.weight)
-        self.weight = size
+    def _update_buffered_bytes(self, size: int) -> None:
+        self._server.count_buffered_bytes(self, size - self.buffered_bytes)
+        self.buffered_bytes = size
 
     async def _serve(self, message: Message) -> bool:
-        """Have a request answered; say whether the connection may carry another."""
-        # Guards against beginning for a client that had left before its request was read: reading finds its
-        # end at once.
+        """Process and answer a request; returns whether the connection may carry another."""
+        # Does not start work for a client that disconnected before its request was read: the next read finds
+        # the end of the connection at once.
         self._reading = self._reading or self._begin_read()
         if self._reading.done() and self._reading.exception():
             await self._reading
         self.exchange = exchange = Exchange(message)
-        self.turn(State.IN_HAND)
+        self.enter(State.PROCESSING)
         self._server.handler(exchange)
         return await self._finish(exchange)
 
     async def _finish(self, exchange: Exchange) -> bool:
-        """Answer the request in hand; say whether the connection may carry another."""
-        # Reading goes on so that a client's leaving is noticed.
+        """Wait for the answer and write it; returns whether the connection may carry another request."""
+        # Reading goes on so that a disconnect is noticed.
         while not exchange.answer.done():
             self._reading = self._reading or self._begin_read()
             both: set[asyncio.Future[Any]] = {self._reading, exchange.answer}
@@ -177,12 +177,12 @@
         status, body, headers = await exchange.answer
         self.exchange = None
         message = exchange.message
-        self.lasting = exchange.lasting
-        ends = self._server.ends() and not self.lasting
-        keep = message.keep and not self.closing and not ends and status not in UNUSABLE
-        self.proven = self.proven or status not in UNUSABLE
+        self.from_worker = exchange.from_worker
+        close_after_answer = self._server.close_after_answer() and not self.from_worker
+        keep = message.keep and not self.closing and not close_after_answer and status not in CLOSING_STATUSES
+        self.proven = self.proven or status not in CLOSING_STATUSES
         await self._write(status, body, headers, keep=keep)
-        self.turn(State.RESTING)
+        self.enter(State.KEEP_ALIVE)
         return keep
 
     async def _write(self, status: int, body: bytes, headers: dict[str, str], *, keep: bool) -> None:
@@ -194,147 +194,147 @@
         self.since = self._server.clock.now()
 
     def detach(self) -> "Detached | None":
-        """Give the connection up, open, with what has been read of the next request; None if that cannot be.
+        """Release the open connection with the bytes read of the next request; None if it cannot be detached.
 
-        A request whose head has been taken apart stays until it is answered, or is passed with its job.
+        A connection whose request's head has been parsed stays until it is answered or passed with its job.
         """
-        between = self.state in (State.SILENT, State.RESTING, State.SENDING)
-        return self._part() if between and self.exchange is None else None
+        between = self.state in (State.NEW, State.KEEP_ALIVE, State.RECEIVING)
+        return self._detach() if between and self.exchange is None else None
 
     def detach_with_job(self) -> "Detached | None":
-        """Give the connection up while its request is in hand; None if that cannot be at this moment.
+        """Release the open connection while its request is processed; None if that is not possible now.
 
-        Whoever takes it owes the answer. Guards against a client whose leaving, or whose next bytes, are
-        already here: these are heeded first.
+        The receiver has to answer the request. A disconnect or further bytes that have already arrived are
+        handled here first.
         """
         exchange = self.exchange
-        if exchange is None or self.state is not State.IN_HAND or exchange.answer.done():
+        if exchange is None or self.state is not State.PROCESSING or exchange.answer.done():
             return None
-        if not alive(self._stream) or not (given := self._part(exchange)):
+        if not alive(self._stream) or not (detached := self._detach(exchange)):
             return None
-        self.exchange = None  # its end here is no leave of its client's
-        return given
+        self.exchange = None  # so that closing the stream here does not count as a disconnect
+        return detached
 
-    def _part(self, exchange: "Exchange | None" = None) -> "Detached | None":
+    def _detach(self, exchange: "Exchange | None" = None) -> "Detached | None":
         reading = self._reading
         if self._ended or self.closing or self._stream.writing() or (
-                reading is None or reading.done() or self._parser.unread is None):
+                reading is None or reading.done() or self._parser.unparsed is None):
             return None
         try:
             sock = self._stream.socket.dup()
-        except OSError:  # out of descriptors: later
+        except OSError:  # out of file descriptors: the caller tries again later
             return None
-        read = self._parser.unread
+        read = self._parser.unparsed
         self._ended = True
-        self._stream.close()  # only our descriptor of it
-        return Detached(sock, read, self.proven, self.lasting, exchange)
-
-    def resume(self, given: "Detached") -> None:
-        """Go on where another process left off."""
-        self.proven, self.lasting = given.proven, given.lasting
-        self._parser.feed(given.read)
-        if given.exchange:
-            self.exchange = given.exchange
-            self.turn(State.IN_HAND)
-        elif given.proven and not given.read:
-            self.turn(State.RESTING)
-
-    def turn(self, state: "State") -> None:
-        """Enter a state."""
-        self._server.moves(self, state)
+        self._stream.close()  # closes only this descriptor of the socket
+        return Detached(sock, read, self.proven, self.from_worker, exchange)
+
+    def resume(self, detached: "Detached") -> None:
+        """Continue a connection in the state in which another process detached it."""
+        self.proven, self.from_worker = detached.proven, detached.from_worker
+        self._parser.feed(detached.read)
+        if detached.exchange:
+            self.exchange = detached.exchange
+            self.enter(State.PROCESSING)
+        elif detached.proven and not detached.read:
+            self.enter(State.KEEP_ALIVE)
+
+    def enter(self, state: "State") -> None:
+        """Change to a state."""
+        self._server.track_state(self, state)
         self.state = state
 
     @property
-    def patience(self) -> timedelta:
-        """Return how long the present state may last while no request is in hand."""
+    def state_timeout(self) -> timedelta:
+        """How long the present state may last while no request is being processed."""
         limits = self._server.limits
         if self.state is State.LINGERING:
             return limits.linger
         if self._stream.writing():
             return limits.client_take
-        return limits.client_idle if self.state is State.RESTING else limits.client_read
+        return limits.client_idle if self.state is State.KEEP_ALIVE else limits.client_read
 
     def close_when_idle(self) -> None:
-        """End the connection, after the answer if a request is in hand or on its way."""
+        """Close the connection, after the answer if a request is being received or processed."""
         self.closing = True
         self.end_if_idle()
 
     def end_if_idle(self) -> None:
-        """End the connection gently if it carries nothing and nothing unread has come on it."""
+        """Close the connection gracefully if it is idle and has no unread bytes."""
         if self.quiet and not self._ended:
             self._ended = True
             self.since = self._server.clock.now()
-            self.turn(State.LINGERING)  # guards against a client that keeps its half open
+            self.enter(State.LINGERING)  # bounds a client that keeps its half of the connection open
             with suppress(OSError):
                 self._stream.socket.shutdown(socket.SHUT_WR)
 
-    def turn_away(self, status: int, why: str, headers: dict[str, str] | None = None) -> None:
-        """End the connection at once, with an answer if a part of a request has come."""
+    def reject(self, status: int, reason: str, headers: dict[str, str] | None = None) -> None:
+        """Close the connection at once, with an answer if part of a request has been received."""
         if self._stream.closed():
             return
-        with suppress(OSError):  # a close over unread bytes would undo the answer
+        with suppress(OSError):  # a close with unread bytes sends a reset, which can discard the answer
             self._stream.socket.recv(self._server.limits.read, socket.MSG_DONTWAIT)
-        self._tell_off(status, why, headers)
+        self._send_error(status, reason, headers)
         self._stream.close()
 
     def time_out(self) -> None:
-        """End the connection, leaving a client that goes on sending the time to read its answer or the end.
+        """Close the connection, leaving a client that goes on sending time to read the answer or the end.
 
-        Guards against the reset that a close with unread bytes brings, which would undo the answer.
+        A close with unread bytes sends a reset, which can discard the answer.
         """
-        if self._stream.closed():  # it is about to be left
+        if self._stream.closed():  # the server is about to forget it
             return
-        if self.state is State.RESTING and not self._stream.writing():
-            self.end_if_idle()  # a request that has just come is read and answered instead
+        if self.state is State.KEEP_ALIVE and not self._stream.writing():
+            self.end_if_idle()  # if a request has just arrived, it is read and answered instead
             return
         if self.state is State.LINGERING or self._stream.writing():
             self._stream.close()
             return
-        self._tell_off(408, "the request did not come whole in time")
+        self._send_error(408, "the request did not come whole in time")
         self.since, self._ended = self._server.clock.now(), True
-        self.turn(State.LINGERING)
+        self.enter(State.LINGERING)
         with suppress(OSError):
             self._stream.socket.shutdown(socket.SHUT_WR)
 
-    def _tell_off(self, status: int, why: str, headers: dict[str, str] | None = None) -> None:
-        if self.state is State.SENDING:
+    def _send_error(self, status: int, reason: str, headers: dict[str, str] | None = None) -> None:
+        if self.state is State.RECEIVING:
             with suppress(StreamClosedError):
-                self._stream.write(response(status, f"{why}\n".encode(), keep=False, headers=headers))
+                self._stream.write(response(status, f"{reason}\n".encode(), keep=False, headers=headers))
 
 
 @dataclass(slots=True, frozen=True)
 class Detached:
-    """A connection on its way to another process."""
+    """An open connection that is passed to another process."""
 
     sock: socket.socket
-    read: bytes  # what has come of the next request
+    read: bytes  # the part of the next request that has been received
     proven: bool
-    lasting: bool
-    exchange: Exchange | None = None  # the request in hand, where its job goes with it
+    from_worker: bool
+    exchange: Exchange | None = None  # the request being processed, if its job is passed along
 
 
 class HttpServer(Listener):
-    """Accepts connections and bounds their number, their slowness and what they hold."""
+    """Accepts connections and bounds their number, their idle and transfer times and their buffered bytes."""
 
     def __init__(
         self, limits: Limits, clock: Clock, handler: Callable[[Exchange], None],
-        ends: Callable[[], bool] = lambda: False,
+        close_after_answer: Callable[[], bool] = lambda: False,
     ) -> None:
-        """Hand every request to ``handler``; while ``ends()``, each answer ends its connection."""
+        """Pass every request to ``handler``; while ``close_after_answer()``, close after each answer."""
         super().__init__(limits)
         self.clock, self.handler = clock, handler
         self.connections: set[Connection] = set()
         self._states: dict[State, dict[Connection, None]] = {state: {} for state in State}  # oldest first
-        self._refused = 0  # turned away, with their answer on its way
-        self._held = 0  # bytes of requests that have not come whole
+        self._refused = 0  # refused connections whose answer is still being written
+        self._buffered_bytes = 0  # of incomplete requests, over all connections
         self._retry = {"Retry-After": f"{limits.busy_retry.total_seconds():.3f}"}
-        self.ends = ends
-        self.elsewhere = 0  # connections that another process of this scheduler has open
+        self.close_after_answer = close_after_answer
+        self.elsewhere = 0  # clients' connections open in another process of this scheduler (hand-over)
         self._sweeper = PeriodicCallback(self.sweep, limits.sweep)
         self._sweeper.start()
 
     def handle_stream(self, stream: IOStream, address: object) -> None:
-        """Serve one connection, or turn it away; it is counted before the next is accepted."""
+        """Serve one connection, or refuse it; it is counted before the next is accepted."""
         stream.set_nodelay(True)
         if self.full and not self._make_room():
             log.warning("connection_refused", open=len(self.connections))
@@ -343,95 +343,96 @@
         self._begin(Connection(self, stream))
 
     def _begin(self, connection: Connection) -> None:
-        self.connections.add(connection)  # before its state is told: else it could never make room
-        self.aside(self._run(connection))
+        self.connections.add(connection)  # before its first state change: else its state is never tracked
+        self.run_in_background(self._run(connection))
 
-    def spare(self) -> None:
-        """Make room, whatever the count says."""
+    def free_descriptor(self) -> None:
+        """Close one connection if possible, even if the limit is not reached."""
         self._make_room()
 
     @property
     def full(self) -> bool:
-        """Say whether as many connections are open as may be, here and in the process before or after."""
+        """Whether the limit is reached, counting the connections of both processes during a hand-over."""
         return len(self.connections) + self.elsewhere >= self.limits.client_connections
 
-    def adopt(self, given: Detached) -> None:
-        """Serve a connection that another process has detached."""
-        connection = Connection(self, IOStream(given.sock, max_buffer_size=self.max_buffer_size))
+    def adopt(self, detached: Detached) -> None:
+        """Serve a connection detached by another process."""
+        connection = Connection(self, IOStream(detached.sock, max_buffer_size=self.max_buffer_size))
         self._begin(connection)
-        connection.resume(given)
+        connection.resume(detached)
 
     async def _run(self, connection: Connection) -> None:
         try:
             await connection.run()
         finally:
-            self._leave(connection)
+            self._forget(connection)
 
     def _make_room(self) -> bool:
-        """End one connection that can be spared.
+        """Close one connection to make room for a new one; returns whether one was closed.
 
-        Guards the usual clients' room: first those that have had their answer, next those that connected and
-        say nothing, then those between requests, last those slow to send. A usual client's new connection
-        brings its first byte at once, and is not to be closed unanswered, nor one on which a request has just
-        come. Guards the processor too: crowds come by hundreds a second, so only a few are looked at.
+        Order: connections that have had their last answer, new ones that have sent nothing, those between
+        requests, and last those that are slow to send. A normal client sends its first byte right after
+        connecting, so a very new connection is not closed unanswered, nor one on which a request has just
+        arrived. Only a few connections are examined, since new ones may arrive by the hundreds per second.
         """
-        now, none, slow = self.clock.now(), timedelta(0), self.limits.slow
-        # Last, one that has said something which was not read yet: it is as one slow to send.
-        for state, least, quiet in (
-                (State.LINGERING, none, False), (State.SILENT, self.limits.first_byte, True),
-                (State.RESTING, none, True), (State.SENDING, slow, False), (State.SILENT, slow, False)):
-            for victim in islice(self._states[state], _LOOKED_AT):
-                if now - victim.since < least:
+        now, zero, slow = self.clock.now(), timedelta(0), self.limits.slow
+        # A new connection with unread bytes comes last: it counts as slow to send.
+        for state, minimum_age, quiet in (
+                (State.LINGERING, zero, False), (State.NEW, self.limits.first_byte, True),
+                (State.KEEP_ALIVE, zero, True), (State.RECEIVING, slow, False), (State.NEW, slow, False)):
+            for victim in islice(self._states[state], _EVICTION_CANDIDATES):
+                if now - victim.since < minimum_age:
                     break
                 if quiet and not victim.quiet:
                     continue
-                victim.turn_away(408, "too slow while others wait")
-                self._leave(victim)
+                victim.reject(408, "too slow while others wait")
+                self._forget(victim)
                 return True
         return False
 
-    def moves(self, connection: Connection, state: State) -> None:
-        """Note a connection's state."""
+    def track_state(self, connection: Connection, state: State) -> None:
+        """Move a connection to its new state in the index of states; called before it changes."""
         if connection.state is not None:
             self._states[connection.state].pop(connection, None)
         if connection.state is None or connection in self.connections:
             self._states[state][connection] = None
 
-    def _leave(self, connection: Connection) -> None:
+    def _forget(self, connection: Connection) -> None:
         self.connections.discard(connection)
         if connection.state is not None:
             self._states[connection.state].pop(connection, None)
 
-    def holds(self, connection: Connection, more: int) -> None:
-        """Count what is held for requests that have not come whole; over the bound the heaviest goes.
+    def count_buffered_bytes(self, connection: Connection, change: int) -> None:
+        """Add to the bytes buffered for incomplete requests; over the limit, reject the largest request.
 
-        Guards memory against many that each send all but the end of a large request.
+        Bounds the memory taken by many clients that each send all but the end of a large request.
         """
-        self._held += more
-        if more > 0 and self._held > self.limits.buffered:
-            heavy = [c for c in self._states[State.SENDING] if c is not connection]
-            victim = max(heavy, key=lambda c: c.weight, default=connection)
-            log.warning("buffers_full", held=self._held)
-            victim.turn_away(503, "no room for a request that is slow to come", self._retry)
+        self._buffered_bytes += change
+        if change > 0 and self._buffered_bytes > self.limits.buffered:
+            others = [c for c in self._states[State.RECEIVING] if c is not connection]
+            victim = max(others, key=lambda c: c.buffered_bytes, default=connection)
+            log.warning("buffers_full", held=self._buffered_bytes)
+            victim.reject(503, "no room for a request that is slow to come", self._retry)
 
     def _refuse(self, stream: IOStream) -> None:
-        """Turn a connection away.
+        """Refuse a connection with 503.
 
-        Guards against losing a request that may already be written to it: it is answered, and the answer
-        says that trying again is harmless. Past the room for such answers it is closed without a wait.
+        A request may already have been written to it, so it is answered, and Retry-After tells the client
+        that it can safely try again. Past the limit of refusals the stream is closed without waiting.
         """
         if self._refused < self.limits.refusals:
             self._refused += 1
-            self.aside(self._tell_refusal(stream))
+            self.run_in_background(self._send_refusal(stream))
             return
         with suppress(StreamClosedError, OSError):
-            # What has come is taken first, since a close with unread bytes would undo the answer.
+            # Reads what has arrived first: a close with unread bytes sends a reset, which can discard
+            # the answer.
             with suppress(BlockingIOError):
                 stream.socket.recv(self.limits.read, socket.MSG_DONTWAIT)
             stream.write(response(503, keep=False, headers=self._retry))
         stream.close()
 
-    async def _tell_refusal(self, stream: IOStream) -> None:
+    async def _send_refusal(self, stream: IOStream) -> None:
         try:
             with suppress(StreamClosedError, OSError):
                 await stream.write(response(503, keep=False, headers=self._retry))
@@ -441,35 +442,35 @@
             stream.close()
 
     def sweep(self) -> None:
-        """End connections that idle too long, or are too slow to send a request or take an answer."""
+        """Close connections that are idle too long, or too slow to send a request or read an answer."""
         now = self.clock.now()
         for c in list(self.connections):
-            if c.exchange is None and now - c.since > c.patience:
+            if c.exchange is None and now - c.since > c.state_timeout:
                 c.time_out()
 
     def end_idle(self) -> None:
-        """End clients' connections that carry nothing; to be called again while more may become so.
+        """Close clients' idle connections; to be called again while others may become idle.
 
-        Guards a call-back, or a request, on a new connection: its first bytes come after the accept.
+        A very new connection is left open: its first request may arrive shortly after the accept.
         """
         now = self.clock.now()
         for c in list(self.connections):
-            new = c.state is State.SILENT and now - c.since < self.limits.first_byte
-            if not c.lasting and not new:
+            new = c.state is State.NEW and now - c.since < self.limits.first_byte
+            if not c.from_worker and not new:
                 c.end_if_idle()
 
-    def close_idle(self) -> None:
-        """End the connections that carry nothing, and the others after their answers."""
+    def close_all_when_idle(self) -> None:
+        """Close the idle connections now and the others after their answers."""
         for c in list(self.connections):
             c.close_when_idle()
 
     async def finish(self) -> None:
-        """Accept no more, let answers under way go out and end every connection."""
+        """Stop accepting, wait for pending answers to be written and close every connection."""
         self.stop()
         self._sweeper.stop()
-        self.close_idle()
-        by = self.clock.now() + self.limits.linger
-        while self.connections and self.clock.now() < by:
+        self.close_all_when_idle()
+        deadline = self.clock.now() + self.limits.linger
+        while self.connections and self.clock.now() < deadline:
             await asyncio.sleep(0.01)
         for c in list(self.connections):
-            c.turn_away(503, "stopping")
+            c.reject(503, "stopping")
--- a/hazellead/net/streams.py
+++ b/hazellead/net/streams.py
@@ -17,21 +17,21 @@
 
 
 async def within(span: timedelta, waiting: Awaitable[_T]) -> _T:
-    """Wait so long at most, then raise TimeoutError.
+    """Return the awaitable's result, or raise TimeoutError after ``span``.
 
-    Guards against a cancellation in the very step in which the wait ends: ``asyncio.wait_for`` (3.11) passes
-    it over, and what was given up would go on.
+    ``asyncio.wait_for`` (3.11) swallows a cancellation that arrives in the same step of the event loop as the
+    result, so that cancelled work would go on.
     """
     async with asyncio.timeout(span.total_seconds()):
         return await waiting
 
 
 async def connect(host: str, port: int, limits: Limits) -> IOStream:
-    """Open a connection in time, or raise StreamClosedError or TimeoutError."""
+    """Open a TCP connection; raises StreamClosedError, or TimeoutError after ``limits.connect``."""
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     try:
         stream = IOStream(socket.socket(family, socket.SOCK_STREAM), max_buffer_size=4 * limits.read)
-    except OSError as error:  # out of descriptors
+    except OSError as error:  # out of file descriptors
         raise StreamClosedError(error) from error
     try:
         await within(limits.connect, stream.connect((host, port)))
@@ -43,16 +43,16 @@
 
 
 def alive(stream: IOStream) -> bool:
-    """Say whether an idle connection is open with nothing to read.
+    """Return whether an idle connection is open with nothing to read.
 
-    Guards against reuse of a connection that the other side has closed: what is written to it would be lost,
-    and a payment that may have run must not go out again.
+    A request written to a connection that the other side has closed would be lost without showing whether it
+    ran, and a job that may have run, such as a payment, must not be sent again.
     """
     if stream.closed():
         return False
     try:
         stream.socket.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
-        return False  # its end, or bytes that nothing asked for
+        return False  # the end of the connection, or unsolicited bytes
     except BlockingIOError:
         return True
     except OSError:
@@ -60,9 +60,10 @@
 
 
 async def close_gently(stream: IOStream, limits: Limits, reading: Awaitable[bytes] | None = None) -> None:
-    """Close so that the other side can still read the last answer; ``reading`` is a read already begun.
+    """Shut down writing, read until the other side closes or ``limits.linger`` has passed, then close.
 
-    Guards against the reset that a close with unread bytes brings, which can overtake that answer.
+    A close with unread bytes sends a reset, which can overtake the last answer. ``reading`` is a read that
+    has already been started on the stream.
     """
     try:
         stream.socket.shutdown(socket.SHUT_WR)
@@ -70,7 +71,7 @@
             while True:
                 await (reading or stream.read_bytes(limits.read, partial=True))
                 reading = None
-                # Guards the processor against one that goes on sending at full speed what nobody wants.
+                # Limits the processor time spent on a peer that goes on sending at full speed.
                 await asyncio.sleep(limits.drain_pause.total_seconds())
     except (StreamClosedError, OSError, TimeoutError):
         pass
--- a/hazellead/platform/__init__.py
+++ b/hazellead/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The thin front for the platform's own protocol: clients, workers and discovery."""
+"""The platform's HTTP protocol: clients, workers, discovery, and the configuration."""
--- a/hazellead/platform/clients.py
+++ b/hazellead/platform/clients.py
@@ -77,7 +77,7 @@
 
     def handle(self, exchange: Exchange) -> None:
         """Take one request in."""
-        method, target, _ = exchange.message.first
+        method, target, _ = exchange.message.start_line
         path = target.partition("?")[0]
         try:
             if path == READY:
@@ -85,7 +85,7 @@
                 exchange.respond(200 if self._up() else 503)
             elif path == EVENTS:
                 self._need(method, "POST")
-                exchange.lasting = True
+                exchange.from_worker = True
                 if elsewhere := self._call_back(exchange.message.body):
                     elsewhere.add_done_callback(lambda status: exchange.respond(status.result()))
                 else:
@@ -114,7 +114,7 @@
 
     def follow(self, exchange: Exchange, number: int) -> None:
         """Tie a request to the job that it has become."""
-        exchange.job, exchange.on_gone = number, lambda: self._scheduler.abandon(number)
+        exchange.job, exchange.on_disconnect = number, lambda: self._scheduler.abandon(number)
 
     def _job(self, exchange: Exchange, target: str, at: int) -> Job:
         headers = exchange.message.headers
--- a/hazellead/platform/workers.py
+++ b/hazellead/platform/workers.py
@@ -91,7 +91,7 @@
         rested = self._clock.now() - since
         if connection.quiet:
             return rested < self._limits.worker_idle
-        if connection.unasked:
+        if connection.has_unsolicited_data:
             log.warning("worker_answered_again", worker=place.uid, after=f"{rested.total_seconds():.3f}")
         return False
 
--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -37,7 +37,7 @@
         self.fed = min(self.fed + count, len(self.line))
         while message := self.parser.next():
             self.got.append(message.body)
-            assert message.first == ("POST", "/a", "HTTP/1.1") and message.keep
+            assert message.start_line == ("POST", "/a", "HTTP/1.1") and message.keep
 
     @invariant()
     def whole_messages_came_out(self) -> None:
@@ -78,7 +78,7 @@
 def test_bytes_after_a_request_begin_another_or_show_a_wrong_length(rest: bytes, good: bool) -> None:
     parser = Parser(LIMITS)
     parser.feed(request("POST", "/a", "b", None, b"body") + rest)
-    assert parser.next() and parser.may_go_on is good
+    assert parser.next() and parser.rest_is_plausible is good
 
 
 def test_a_connection_is_kept_as_its_version_and_headers_say() -> None:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -35,7 +35,7 @@
             assert exchange.message.body == b"%d" % self.asked, "out of order"
             self.asked += 1
             self.hand.append(exchange)
-            exchange.on_gone = self.left
+            exchange.on_disconnect = self.left
 
         self.server = HttpServer(QUICK, Clock(), handle)
         self.server.listen(port := free_port(), "127.0.0.1")
@@ -167,10 +167,11 @@
         ends = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3)]
         for (_, writer), size in zip(ends, (30_000, 1_000, 25_000), strict=True):
             writer.write(head + b"a" * size)
-            await until(lambda size=size: any(c.weight >= size for c in server.connections))
+            await until(lambda size=size: any(c.buffered_bytes >= size for c in server.connections))
         assert (await ends[0][0].read()).startswith(b"HTTP/1.1 503")  # the heaviest but for the newest
         assert await get_ok(port)
-        assert sorted(c.weight > 2_000 for c in server.connections if c.weight) == [False, True]
+        assert sorted(
+            c.buffered_bytes > 2_000 for c in server.connections if c.buffered_bytes) == [False, True]
         for _, writer in ends:
             writer.close()
         await server.finish()
@@ -208,7 +209,7 @@
         ends = [await asyncio.open_connection("127.0.0.1", port) for _ in range(30)]
         for _, writer in ends:
             writer.write(request("GET", "/a", "b"))
-        await until(lambda: len(server._states[State.RESTING]) == 30)
+        await until(lambda: len(server._states[State.KEEP_ALIVE]) == 30)
         looked = []
 
         class Watched(Connection):
@@ -349,7 +350,7 @@
 
         flooding = asyncio.ensure_future(asyncio.to_thread(flood))
         await until(lambda: gone)
-        assert max(c.weight for c in server.connections) < limits.head + limits.body + limits.read
+        assert max(c.buffered_bytes for c in server.connections) < limits.head + limits.body + limits.read
         await asyncio.wait_for(flooding, 5)  # it ends within the time for taking the last answer
         assert most[0] < 50_000_000
         await until(lambda: not server.connections)
@@ -500,7 +501,7 @@
         await until(lambda: sum(not c.idle for c in old.connections) == 1)
         given = [c.detach() for c in sorted(old.connections, key=lambda c: c.idle)]
         for detached in given:
-            assert detached and detached.proven and not detached.lasting
+            assert detached and detached.proven and not detached.from_worker
             new.adopt(detached)
         await until(lambda: not old.connections)
         new.listen(other := free_port(), "127.0.0.1")
