--- a/tests/test_http.py
+++ b/tests/test_http.py
@@ -1,4 +1,4 @@
-"""The HTTP parser against a model: whatever the pieces, messages come out whole and in order."""
+"""The HTTP parser: messages fed in random pieces come out complete and in order; malformed ones raise."""
 
 import pytest
 from hypothesis import strategies as st
@@ -11,13 +11,13 @@
 LIMITS = Limits(body=1000, head=200, headers=4)
 
 
-class Pieces(RuleBasedStateMachine):
-    """Messages are queued on a line, which brings its bytes in random pieces."""
+class ParserModel(RuleBasedStateMachine):
+    """Messages are appended to a byte stream, which is fed to the parser in random pieces."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.parser, self.line, self.fed = Parser(LIMITS), b"", 0
-        self.due: list[tuple[int, bytes]] = []  # where on the line each message ends, and its body
+        self.parser, self.stream, self.fed = Parser(LIMITS), b"", 0
+        self.queued: list[tuple[int, bytes]] = []  # where in the stream each message ends, and its body
         self.got: list[bytes] = []
 
     @rule(body=st.binary(max_size=300), chunks=st.integers(0, 3))
@@ -26,26 +26,26 @@
             parts = [body[i::chunks] for i in range(chunks)]
             body = b"".join(parts)
             coded = b"".join(b"%x;a=b\r\n%s\r\n" % (len(p), p) for p in parts if p) + b"0\r\nA: b\r\n\r\n"
-            self.line += b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + coded
+            self.stream += b"POST /a HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + coded
         else:
-            self.line += request("POST", "/a", "b", {"C": "d"}, body)
-        self.due.append((len(self.line), body))
+            self.stream += request("POST", "/a", "b", {"C": "d"}, body)
+        self.queued.append((len(self.stream), body))
 
     @rule(count=st.integers(1, 400))
-    def bring(self, count: int) -> None:
-        self.parser.feed(self.line[self.fed:self.fed + count])
-        self.fed = min(self.fed + count, len(self.line))
+    def feed(self, count: int) -> None:
+        self.parser.feed(self.stream[self.fed:self.fed + count])
+        self.fed = min(self.fed + count, len(self.stream))
         while message := self.parser.next():
             self.got.append(message.body)
             assert message.start_line == ("POST", "/a", "HTTP/1.1") and message.keep
 
     @invariant()
     def whole_messages_came_out(self) -> None:
-        assert self.got == [body for end, body in self.due if end <= self.fed]
+        assert self.got == [body for end, body in self.queued if end <= self.fed]
 
 
-Pieces.TestCase.settings = STEADY
-TestPieces = Pieces.TestCase
+ParserModel.TestCase.settings = STEADY
+TestParser = ParserModel.TestCase
 
 
 @pytest.mark.parametrize(("data", "status"), [
@@ -64,7 +64,7 @@
     (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n1\r\nabc", 400),
     (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n" + b"0" * 99, 400),
 ])
-def test_what_is_malformed_or_too_large_has_its_status(data: bytes, status: int) -> None:
+def test_status_for_malformed_or_too_large_messages(data: bytes, status: int) -> None:
     parser = Parser(LIMITS)
     parser.feed(data)
     with pytest.raises(HttpError) as error:
@@ -75,13 +75,13 @@
 @pytest.mark.parametrize(("rest", "good"), [
     (b"", True), (b"\r\n\r", True), (b"PO", True), (b"\r\nGET /", True), (b"POST http", True),
     (b'"}', False), (b"a", False), (b"POST  ", False), (b"A" * 17, False), (b"\n", False)])
-def test_bytes_after_a_request_begin_another_or_show_a_wrong_length(rest: bytes, good: bool) -> None:
+def test_bytes_after_a_request_are_checked_for_another_request(rest: bytes, good: bool) -> None:
     parser = Parser(LIMITS)
     parser.feed(request("POST", "/a", "b", None, b"body") + rest)
     assert parser.next() and parser.rest_is_plausible is good
 
 
-def test_a_connection_is_kept_as_its_version_and_headers_say() -> None:
+def test_keep_alive_follows_version_and_headers() -> None:
     for head, keep in (("GET / HTTP/1.1", True), ("GET / HTTP/1.0", False),
                        ("GET / HTTP/1.1\r\nConnection: x, Close", False),
                        ("GET / HTTP/1.0\r\nConnection: keep-alive", True)):
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -1,4 +1,4 @@
-"""A client's connection against a model of its states: waiting, half a request, one in hand, ended."""
+"""The HTTP server: a state model of one client's connection, then limits, timeouts and hand-over."""
 
 import asyncio
 import errno
@@ -18,71 +18,71 @@
 from hazellead.net.http import request
 from hazellead.net.server import Connection, Exchange, HttpServer, State
 
-QUICK = Limits(body=1000, linger=timedelta(seconds=0.2), slow=timedelta(seconds=0.2))
+SHORT_TIMES = Limits(body=1000, linger=timedelta(seconds=0.2), slow=timedelta(seconds=0.2))
 
 
-class Talk(RuleBasedStateMachine):
-    """A client on a real connection; its requests may come in pieces and ahead of the answers."""
+class ConnectionModel(RuleBasedStateMachine):
+    """A client on a real connection; sends requests in pieces and before earlier ones are answered."""
 
     def __init__(self) -> None:
         super().__init__()
         self.runner = asyncio.Runner()
-        self.runner.run(self.begin())
+        self.runner.run(self.start_server())
         self.connect()
 
-    async def begin(self) -> None:
+    async def start_server(self) -> None:
         def handle(exchange: Exchange) -> None:
             assert exchange.message.body == b"%d" % self.asked, "out of order"
             self.asked += 1
-            self.hand.append(exchange)
-            exchange.on_disconnect = self.left
+            self.exchanges.append(exchange)
+            exchange.on_disconnect = self.client_disconnected
 
-        self.server = HttpServer(QUICK, Clock(), handle)
+        self.server = HttpServer(SHORT_TIMES, Clock(), handle)
         self.server.listen(port := free_port(), "127.0.0.1")
         self.port = port
 
     def connect(self) -> None:
-        self.sent, self.rest = 0, b""  # whole requests written; what is still to be written of one
-        self.asked = self.answered = self.gone = 0
-        self.hand: list[Exchange] = []
+        self.sent, self.unsent = 0, b""  # complete requests written; rest of the one being written
+        self.asked = self.answered = self.disconnects = 0
+        self.exchanges: list[Exchange] = []
         self.reader, self.writer = self.runner.run(asyncio.open_connection("127.0.0.1", self.port))
 
-    def left(self) -> None:
-        self.gone += 1
+    def client_disconnected(self) -> None:
+        self.disconnects += 1
 
     def settle(self) -> None:
-        """Wait for what the model says comes next: one request at a time is in hand."""
+        """Wait for the number of handled requests that the model expects: one at a time is processed."""
         self.runner.run(asyncio.wait_for(until(
             lambda: self.asked == min(self.sent, self.answered + 1)), 10))
 
     @rule(part=st.integers(1, 99))
     def write(self, part: int) -> None:
-        if not self.rest:
-            self.rest = request("POST", "/a", "b", {}, b"%d" % self.sent)
-        now, self.rest = self.rest[:part], self.rest[part:]
-        self.sent += not self.rest
+        if not self.unsent:
+            self.unsent = request("POST", "/a", "b", {}, b"%d" % self.sent)
+        now, self.unsent = self.unsent[:part], self.unsent[part:]
+        self.sent += not self.unsent
         self.writer.write(now)
         self.settle()
 
     @precondition(lambda self: self.asked > self.answered)
-    @rule(again=st.booleans())
-    def answer(self, again: bool) -> None:
-        exchange = self.hand[-1]
+    @rule(answer_twice=st.booleans())
+    def answer(self, answer_twice: bool) -> None:
+        exchange = self.exchanges[-1]
         exchange.respond(200, b"%d" % self.answered)
-        if again:
-            exchange.respond(500)  # of no effect
+        if answer_twice:
+            exchange.respond(500)  # must have no effect
         first, _, body = self.runner.run(asyncio.wait_for(http_message(self.reader), 10))
         assert first == "HTTP/1.1 200 OK" and body == b"%d" % self.answered
         self.answered += 1
         self.settle()
 
-    @rule(hard=st.booleans())
-    def leave(self, hard: bool) -> None:
-        if hard:
+    @rule(abort=st.booleans())
+    def disconnect(self, abort: bool) -> None:
+        if abort:
             self.writer.transport.abort()
         self.writer.close()
         self.runner.run(asyncio.wait_for(until(lambda: not self.server.connections), 10))
-        assert self.gone == (self.asked > self.answered), "not told once that the client left"
+        assert self.disconnects == (self.asked > self.answered), "the disconnect must be reported once"
         self.connect()
 
     def teardown(self) -> None:
@@ -92,11 +92,11 @@
         self.runner.close()
 
 
-Talk.TestCase.settings = STEADY
-TestTalk = Talk.TestCase
+ConnectionModel.TestCase.settings = STEADY
+TestConnection = ConnectionModel.TestCase
 
 
-async def raw(port: int, data: bytes) -> bytes:
+async def exchange_raw(port: int, data: bytes) -> bytes:
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(data)
     got = await reader.read()
@@ -105,7 +105,7 @@
 
 
 async def get_ok(port: int) -> bool:
-    return (await raw(port, request("GET", "/a", "b", {"Connection": "close"}))).endswith(b"ok")
+    return (await exchange_raw(port, request("GET", "/a", "b", {"Connection": "close"}))).endswith(b"ok")
 
 
 def serving(limits: Limits) -> tuple[HttpServer, int]:
@@ -118,10 +118,10 @@
     (b"GET / HTTP/9\r\n\r\n", b"400"), (request("POST", "/a", "b", None, b"ab") + b"cd", b"400"),
     (b"GET /" + b"a" * 20000, b"431"),
     (b"POST / HTTP/1.1\r\nContent-Length: 1001\r\n\r\n" + b"a" * 1001, b"413")])
-def test_a_bad_request_is_answered_whole_before_the_connection_ends(data: bytes, status: bytes) -> None:
+def test_bad_request_is_answered_before_the_connection_closes(data: bytes, status: bytes) -> None:
     async def case() -> None:
-        server, port = serving(QUICK)
-        got = await raw(port, data)
+        server, port = serving(SHORT_TIMES)
+        got = await exchange_raw(port, data)
         assert got.startswith(b"HTTP/1.1 " + status) and b"Connection: close" in got
         await server.finish()
 
@@ -135,10 +135,10 @@
     (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n", b"1\r\na\r\n", b"HTTP/1.1 408"),
     (b"POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n", b"A: b\r\n", b"HTTP/1.1 408")])
 @pytest.mark.parametrize("asked", [False, True])
-def test_a_request_that_never_comes_whole_is_ended_in_time(
+def test_incomplete_request_times_out(
     first: bytes, drip: bytes, answer: bytes, asked: bool,
 ) -> None:
-    """Whatever drips meanwhile. Between requests a connection may rest, but not be kept by empty lines."""
+    """The timeout holds even if bytes keep dripping in; empty lines do not keep an idle connection open."""
     async def case() -> None:
         server, port = serving(Limits(client_read=timedelta(seconds=0.2), client_idle=timedelta(seconds=0.4),
                                       sweep=timedelta(seconds=0.05)))
@@ -160,7 +160,7 @@
     run(case())
 
 
-def test_unfinished_requests_are_bounded_by_their_bytes() -> None:
+def test_bytes_of_incomplete_requests_are_bounded() -> None:
     async def case() -> None:
         server, port = serving(Limits(buffered=50_000, client_read=timedelta(days=1)))
         head = b"POST / HTTP/1.1\r\nContent-Length: 60000\r\n\r\n"
@@ -168,7 +168,7 @@
         for (_, writer), size in zip(ends, (30_000, 1_000, 25_000), strict=True):
             writer.write(head + b"a" * size)
             await until(lambda size=size: any(c.buffered_bytes >= size for c in server.connections))
-        assert (await ends[0][0].read()).startswith(b"HTTP/1.1 503")  # the heaviest but for the newest
+        assert (await ends[0][0].read()).startswith(b"HTTP/1.1 503")  # the largest except the newest
         assert await get_ok(port)
         assert sorted(
             c.buffered_bytes > 2_000 for c in server.connections if c.buffered_bytes) == [False, True]
@@ -179,9 +179,9 @@
     run(case())
 
 
-def test_room_is_made_by_those_who_miss_least() -> None:
+def test_connections_are_closed_for_new_ones_in_order_of_state() -> None:
     async def case() -> None:
-        # The slow one has to make room itself, and not to be timed out after a refusal of the newest.
+        # The slow connection must be closed to make room, not by a timeout after the newest was refused.
         limits = Limits(client_connections=3, first_byte=timedelta(0), slow=timedelta(0), linger=timedelta(0),
                         client_read=timedelta(days=1))
         server, port = serving(limits)
@@ -202,8 +202,8 @@
     run(case())
 
 
-def test_making_room_looks_at_few_connections_however_many_there_are() -> None:
-    """A crowd of 350 new connections a second took the whole processor while each searched 640 others."""
+def test_making_room_examines_few_connections() -> None:
+    """Searching 640 open connections for each of 350 new ones a second took all processor time."""
     async def case() -> None:
         server, port = serving(Limits(client_connections=30, first_byte=timedelta(0)))
         ends = [await asyncio.open_connection("127.0.0.1", port) for _ in range(30)]
@@ -227,9 +227,9 @@
     run(case())
 
 
-def test_one_that_waits_for_leave_to_send_its_body_gets_it() -> None:
+def test_expect_100_continue_is_answered() -> None:
     async def case() -> None:
-        server, port = serving(QUICK)
+        server, port = serving(SHORT_TIMES)
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         writer.write(b"POST / HTTP/1.1\r\nContent-Length: 1\r\nExpect: 100-continue\r\n\r\n")
         assert (await http_message(reader))[0] == "HTTP/1.1 100 Continue"
@@ -241,17 +241,17 @@
     run(case())
 
 
-def test_connections_are_bounded_in_number_and_slowness() -> None:
+def test_number_of_connections_and_receive_time_are_bounded() -> None:
     async def case() -> None:
         server, port = serving(
             Limits(client_connections=1, client_read=timedelta(0), linger=timedelta(days=1),
                    first_byte=timedelta(0), sweep=timedelta(days=1)))
         _, idle = await asyncio.open_connection("127.0.0.1", port)
         await until(lambda: any(c.idle for c in server.connections))
-        reader, slow = await asyncio.open_connection("127.0.0.1", port)  # the idle one makes room
+        reader, slow = await asyncio.open_connection("127.0.0.1", port)  # the idle one is closed for it
         slow.write(b"GET")
         await until(lambda: any(not c.idle for c in server.connections))
-        reader2, refused = await asyncio.open_connection("127.0.0.1", port)  # a busy one does not
+        reader2, refused = await asyncio.open_connection("127.0.0.1", port)  # a busy one is not
         first, headers, _ = await http_message(reader2)
         assert first.startswith("HTTP/1.1 503") and float(headers["retry-after"]) > 0
         refused.close()
@@ -264,7 +264,7 @@
     run(case())
 
 
-def test_one_that_is_slow_to_send_makes_room_before_a_new_one_is_refused() -> None:
+def test_slow_connection_is_closed_before_a_new_one_is_refused() -> None:
     async def case() -> None:
         server, port = serving(Limits(client_connections=1, slow=timedelta(0)))
         reader, slow = await asyncio.open_connection("127.0.0.1", port)
@@ -280,15 +280,15 @@
     run(case())
 
 
-def test_a_request_that_crosses_the_close_is_not_taken() -> None:
+def test_request_that_crosses_the_close_is_not_handled() -> None:
     async def case() -> None:
         taken: list[Any] = []
-        server = HttpServer(QUICK, Clock(), taken.append)
+        server = HttpServer(SHORT_TIMES, Clock(), taken.append)
         server.listen(port := free_port(), "127.0.0.1")
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
         await until(lambda: server.connections)
         ending = asyncio.ensure_future(server.finish())
-        assert await reader.read() == b""  # told of the close; what follows was written before that was seen
+        assert await reader.read() == b""  # the write below stands for one made before this close
         writer.write(request("POST", "/a", "b"))
         await ending
         assert not taken
@@ -299,10 +299,10 @@
     run(case())
 
 
-async def stuck(server: HttpServer, port: int, behind: bytes) -> tuple[list[int], socket.socket]:
-    """A client whose request is in hand, and which has sent more behind it."""
+async def flooding_client(server: HttpServer, port: int, behind: bytes) -> tuple[list[int], socket.socket]:
+    """Connect a client whose request is being processed and that has sent more bytes behind it."""
     gone: list[int] = []
-    server.handler = lambda exchange: setattr(exchange, "on_gone", lambda: gone.append(1))
+    server.handler = lambda exchange: setattr(exchange, "on_disconnect", lambda: gone.append(1))
     client = socket.create_connection(("127.0.0.1", port))
     client.sendall(request("POST", "/a", "b"))
     await until(lambda: any(c.exchange for c in server.connections))
@@ -310,13 +310,13 @@
     return gone, client
 
 
-@pytest.mark.parametrize("hard", [False, True])
-def test_a_client_that_floods_and_goes_is_noticed_at_once(hard: bool) -> None:
+@pytest.mark.parametrize("abort", [False, True])
+def test_disconnect_behind_a_flood_is_noticed_at_once(abort: bool) -> None:
     async def case() -> None:
         server, port = serving(Limits())
-        gone, client = await stuck(server, port, request("POST", "/a", "b", {}, b"a" * 9000) * 70)
+        gone, client = await flooding_client(server, port, request("POST", "/a", "b", {}, b"a" * 9000) * 70)
         assert not gone
-        if hard:
+        if abort:
             client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
         client.close()
         began = time.monotonic()
@@ -327,11 +327,11 @@
     run(case())
 
 
-def test_a_client_that_floods_without_end_is_told_so_and_its_request_given_up() -> None:
+def test_endless_flood_is_refused_and_its_request_abandoned() -> None:
     async def case() -> None:
         limits = Limits(behind=300_000)
         server, port = serving(limits)
-        gone, client = await stuck(server, port, b"")
+        gone, client = await flooding_client(server, port, b"")
         most = [0]
 
         def flood() -> bytes:
@@ -351,7 +351,7 @@
         flooding = asyncio.ensure_future(asyncio.to_thread(flood))
         await until(lambda: gone)
         assert max(c.buffered_bytes for c in server.connections) < limits.head + limits.body + limits.read
-        await asyncio.wait_for(flooding, 5)  # it ends within the time for taking the last answer
+        await asyncio.wait_for(flooding, 5)  # the flood ends within the linger time
         assert most[0] < 50_000_000
         await until(lambda: not server.connections)
         client.close()
@@ -365,7 +365,7 @@
         taken: list[Any] = []
         server, port = serving(Limits())
         server.handler = taken.append
-        client = socket.create_connection(("127.0.0.1", port))  # all of it while the loop stands still
+        client = socket.create_connection(("127.0.0.1", port))  # all of this before the event loop runs again
         client.sendall(request("POST", "/a", "b"))
         client.close()
         met: list[int] = []
@@ -378,24 +378,24 @@
     run(case())
 
 
-def shut(server: HttpServer) -> None:
+def close_idle(server: HttpServer) -> None:
     server.end_idle()
 
 
-def expire(server: HttpServer) -> None:
+def time_out(server: HttpServer) -> None:
     for connection in server.connections:
         connection.since -= timedelta(days=1)
     server.sweep()
 
 
-def crowd(server: HttpServer) -> None:
+def make_room(server: HttpServer) -> None:
     server._make_room()
 
 
 @pytest.mark.parametrize("read", [False, True])
-@pytest.mark.parametrize("close", [shut, expire, crowd])
-def test_a_request_that_comes_in_the_moment_of_the_close_is_answered(close: Any, read: bool) -> None:
-    """It lies in the system's buffer, or in a read that has finished and was not yet taken."""
+@pytest.mark.parametrize("close", [close_idle, time_out, make_room])
+def test_request_that_arrives_as_its_connection_is_closed_is_answered(close: Any, read: bool) -> None:
+    """The request is still in the socket's buffer, or in a finished read that has not been parsed yet."""
     async def case() -> None:
         server, port = serving(Limits())
         loop = asyncio.get_running_loop()
@@ -406,7 +406,7 @@
         done: list[bool] = []
 
         def look() -> None:
-            # It comes before what the read wakes, as it was put into the loop's queue before.
+            # Runs before the task that the read wakes, as it was put into the event loop's queue earlier.
             if connection._reading and connection._reading.done():
                 done.append(True)
                 close(server)
@@ -428,7 +428,7 @@
 
 
 def test_each_connection_is_counted_before_the_next_is_accepted() -> None:
-    """Guards the descriptors set aside: a crowd comes at once."""
+    """Many simultaneous connections must not use up the descriptors reserved for discovery and workers."""
     async def case() -> None:
         server, port = serving(Limits(client_connections=5, refusals=2))
         most, accept = [0], server._handle_connection
@@ -449,14 +449,14 @@
     run(case())
 
 
-def test_it_rests_where_no_descriptor_is_left_and_can_be_stopped_meanwhile() -> None:
+def test_accepting_pauses_without_descriptors_and_can_be_stopped_meanwhile() -> None:
     async def case() -> None:
         server, port = serving(Limits(accept_pause=timedelta(seconds=0.1)))
         (sock,) = server._sockets.values()
         tries = list[float]()
 
-        class Short:
-            """The listening socket of a process that has no descriptor left."""
+        class OutOfDescriptors:
+            """A listening socket of a process that has no file descriptor left."""
 
             def accept(self) -> Any:
                 tries.append(time.monotonic())
@@ -467,7 +467,7 @@
 
         listening = server._sockets[sock.fileno()]
         server.pause()
-        server.add_sockets([Short()])  # type: ignore[list-item]
+        server.add_sockets([OutOfDescriptors()])  # type: ignore[list-item]
         with capture_logs() as logs:
             client = socket.create_connection(("127.0.0.1", port))
             await until(lambda: len(tries) == 3)
@@ -476,20 +476,20 @@
         server.add_sockets([listening])
         client.sendall(request("GET", "/a", "b", {"Connection": "close"}))
         await until(lambda: server.connections)
-        client.close()  # it is ending as room has to be made
+        client.close()  # the server is closing it when it has to make room
         server.pause()
-        server.add_sockets([Short()])  # type: ignore[list-item]
+        server.add_sockets([OutOfDescriptors()])  # type: ignore[list-item]
         before = len(tries)
         with socket.create_connection(("127.0.0.1", port)):
             await until(lambda: len(tries) > before)
-            await server.finish()  # while it rests
+            await server.finish()  # during the pause
         await asyncio.sleep(0.15)
         assert len(tries) == before + 1
 
     run(case())
 
 
-def test_adopted_connections_go_on_where_they_were_and_make_room_as_others_do() -> None:
+def test_adopted_connections_keep_their_state_and_make_room() -> None:
     async def case() -> None:
         old, port = serving(Limits())
         new = HttpServer(Limits(client_connections=2), Clock(), lambda e: e.respond(200, b"new"))
@@ -505,8 +505,8 @@
             new.adopt(detached)
         await until(lambda: not old.connections)
         new.listen(other := free_port(), "127.0.0.1")
-        got = await raw(other, request("GET", "/a", "b", {"Connection": "close"}))
-        assert got.endswith(b"new"), "the resting one has not made room"
+        got = await exchange_raw(other, request("GET", "/a", "b", {"Connection": "close"}))
+        assert got.endswith(b"new"), "the idle connection was not closed to make room"
         assert await pairs[0][0].read() == b""
         pairs[1][1].write(b"TP/1.1\r\n\r\n")
         assert (await http_message(pairs[1][0]))[2] == b"new"
@@ -518,8 +518,8 @@
     run(case())
 
 
-def test_one_that_has_just_come_may_say_what_it_came_for_before_it_counts_as_idle() -> None:
-    """A call-back on a new connection, as the end of idle ones falls between its connect and first byte."""
+def test_very_new_connection_does_not_count_as_idle() -> None:
+    """Idle connections are closed between a connection's accept and the first byte of its call-back."""
     async def case() -> None:
         server, port = serving(Limits())
         reader, writer = await asyncio.open_connection("127.0.0.1", port)
