--- a/hazellead/platform/config.py
+++ b/hazellead/platform/config.py
@@ -113,7 +113,7 @@
     """Split "host:port"; raises ConfigError, which names ``key``, if it is malformed."""
     host, colon, port = str(text).rpartition(":")
     if not colon or not host or not port.isdigit() or not 0 < int(port) < 65536:
-        raise ConfigError(f"{key} is no address: {text!r}")
+        raise ConfigError(f"{key} is not an address: {text!r}")
     return host.strip("[]"), int(port)
 
 
--- a/tests/test_gearman_parts.py
+++ b/tests/test_gearman_parts.py
@@ -342,7 +342,7 @@
     ('tenant = "pohja-vesi"', 'tenant = "odd"', "tenant is missing or unknown"),
     ("inventory =", "in =", "holds"),
     ("deadline_ms = 5000", "deadline_ms = 5001", "deadline_ms"), ("[gearman]", "[gearman", "line"),
-    ('"127.0.0.1:4730"', '"x"', "gearman.listen is no address")])
+    ('"127.0.0.1:4730"', '"x"', "gearman.listen is not an address")])
 def test_a_bad_operators_file_is_a_plain_error(tmp_path: Path, old: str, new: str, words: str) -> None:
     text = (ROOT / "deploy/gearman.toml").read_text()
     assert old in text
--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -249,7 +249,7 @@
     ({"peers": {"ping_ms": "5s"}}, "peers.ping_ms: expected `int`"),
     ({"peers": {"ping_ms": 5}}, "peers.ping_ms: expected `int` >= 100"),
     ({"peers": {"ping_timeout_ms": 400}}, "peers.ping_timeout_ms: is at most half"),
-    ({"peers": {"seeds": ["nowhere"]}}, "peers.seeds[0] is no address"),
+    ({"peers": {"seeds": ["nowhere"]}}, "peers.seeds[0] is not an address"),
     ({"peers": {"names": "x*"}}, "our own name"), ({"peers": {"names": ""}}, "peers: members or names"),
     ({"learning": {"clamp": 0.5}}, "learning.clamp: expected `float` > 1.0"),
     ({"learning": {"half_lives_s": {"speed": 1}}}, "learning.half_lives_s.speed: is none of pace"),
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -539,10 +539,10 @@
 
 
 @pytest.mark.parametrize(("change", "words"), [
-    ({"listen": "nowhere"}, "listen is no address"), ({"settings": None}, "settings are missing"),
+    ({"listen": "nowhere"}, "listen is not an address"), ({"settings": None}, "settings are missing"),
     ({"seed": "x"}, "seed a hexadecimal"), ({"known": {"rev": 1}}, "known: malformed"),
     ({"settings": {**SETTINGS, "tickUs": "x"}}, "bad setting: tickUs"), ({"limits": [1]}, "objects"),
-    ({"console": "127.0.0.1"}, "console is no address"),
+    ({"console": "127.0.0.1"}, "console is not an address"),
     ({"settings": {**SETTINGS, "caps": {}}}, "missing setting: caps.maxAttempts"),
     ({"listen": f"127.0.0.1:{TAKEN[1]}"}, "cannot listen"), (b"{", "not JSON"), (b"[]", "not an object")])
 def test_a_bad_configuration_is_one_plain_line(tmp_path: Path, change: Any, words: str) -> None:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -360,7 +360,7 @@
     run(case())
 
 
-def test_nothing_is_begun_for_a_client_that_left_before_its_request_was_read() -> None:
+def test_request_of_a_disconnected_client_is_not_handled() -> None:
     async def case() -> None:
         taken: list[Any] = []
         server, port = serving(Limits())
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -1,4 +1,4 @@
-"""What schedulers are told in time when watches fall silent, at a discovery that takes calls in turn."""
+"""The watch against a discovery that queues calls: silent watches, refusals, malformed lists, moves."""
 
 import asyncio
 import json
@@ -17,12 +17,12 @@
 from hazellead.limits import Limits
 from hazellead.platform.discovery import Watch
 
-TOLD = 6.0  # after which what a silent watch misses counts as told
-GRACE = 0.4  # for which a send may still go there
-Wound = Callable[[asyncio.StreamWriter, bytes], None]
+NOTIFIED_AFTER_S = 6.0  # after which a change missed by a silent watch counts as notified
+GRACE_S = 0.4  # after the notification, in which a send is still allowed
+Corruption = Callable[[asyncio.StreamWriter, bytes], None]
 
 
-def told(rev: int, state: str, *, whole: bool) -> bytes:
+def list_body(rev: int, state: str, *, whole: bool) -> bytes:
     return json.dumps(listing(rev, target("s-1", state), whole=whole)).encode()
 
 
@@ -30,21 +30,21 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-class Turns:
-    """A discovery that takes calls that open a watch in turn, and turns those away that would wait long."""
+class QueuedDiscovery:
+    """A discovery that queues the calls that open a watch, and refuses those that would wait too long."""
 
-    def __init__(self, each: float = 0.0, most: float = 2.0) -> None:
-        self.each, self.most = each, most
-        self.rev, self.free, self.away = 1, 0.0, 0
+    def __init__(self, seconds_per_call: float = 0.0, longest_wait: float = 2.0) -> None:
+        self.seconds_per_call, self.longest_wait = seconds_per_call, longest_wait
+        self.rev, self.next_free, self.refused = 1, 0.0, 0
         self.calls, self.changed = list[str](), asyncio.Condition()
-        self.deaf = set[asyncio.StreamWriter]()  # whose calls are never answered
-        self.open = set[asyncio.StreamWriter]()
-        self.refuse = self.ignore = 0  # calls to come that get 503, or nothing
-        self.wound: Wound | None = None  # what becomes of the next answer
-        self.resets = 0  # calls to come that end in a reset
-        self.stale = False  # it tells its list whatever was asked for
-        self.hasty = False  # it waits for no change
-        self.state = ""  # of the one worker; else it drains once the version is over 1
+        self.unanswered = set[asyncio.StreamWriter]()  # connections whose calls are never answered
+        self.open_watches = set[asyncio.StreamWriter]()
+        self.calls_to_refuse = self.calls_to_ignore = 0  # of the next calls: how many get 503, or no answer
+        self.corrupt: Corruption | None = None  # writes the next answer instead of the correct one
+        self.calls_to_reset = 0  # of the next calls: how many end in a reset
+        self.resends_list = False  # answers with the whole list, even if changes are requested
+        self.answers_at_once = False  # does not wait for a change
+        self.state = ""  # of the only worker; if empty, it drains once the version is over 1
         self.server: asyncio.Server | None = None
         self.writers = set[asyncio.StreamWriter]()
 
@@ -57,7 +57,7 @@
             self.server.close()
 
     async def go_down(self) -> tuple[str, int]:
-        """Refuse connections and reset those that are open."""
+        """Refuse new connections and reset the open ones."""
         assert self.server
         address: tuple[str, int] = self.server.sockets[0].getsockname()
         self.server.close()
@@ -66,12 +66,12 @@
         return address
 
     async def come_back(self, address: tuple[str, int]) -> None:
-        """Accept again."""
-        self.open = set()
+        """Accept connections again."""
+        self.open_watches = set()
         self.server = await asyncio.start_server(self._serve, *address)
 
     async def drain(self) -> None:
-        """Tell that the one worker drains."""
+        """Report that the only worker drains."""
         async with self.changed:
             self.rev += 1
             self.changed.notify_all()
@@ -89,50 +89,50 @@
             query = dict(p.split("=") for p in self.calls[-1].partition("?")[2].split("&") if p)
             index, wait = int(query.get("index", -1)), int(query.get("wait", 0)) / 1000
             self.writers.add(writer)
-            if writer in self.deaf:
+            if writer in self.unanswered:
                 continue
-            if self.resets:
-                self.resets -= 1
+            if self.calls_to_reset:
+                self.calls_to_reset -= 1
                 writer.transport.abort()
                 return
-            if writer not in self.open:
-                if self.ignore:
-                    self.ignore -= 1
+            if writer not in self.open_watches:
+                if self.calls_to_ignore:
+                    self.calls_to_ignore -= 1
                     continue
                 now = time.monotonic()
-                start = max(now, self.free)
-                if self.refuse or start - now > self.most:
-                    self.refuse, self.away = max(0, self.refuse - 1), self.away + 1
+                start = max(now, self.next_free)
+                if self.calls_to_refuse or start - now > self.longest_wait:
+                    self.calls_to_refuse, self.refused = max(0, self.calls_to_refuse - 1), self.refused + 1
                     writer.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
                     continue
-                self.free = start + self.each
-                await asyncio.sleep(self.free - now)
-                self.open.add(writer)
+                self.next_free = start + self.seconds_per_call
+                await asyncio.sleep(self.next_free - now)
+                self.open_watches.add(writer)
             async with self.changed:
                 try:
                     await asyncio.wait_for(self.changed.wait_for(
-                        lambda i=index: self.rev != i or self.stale or self.hasty), wait)
+                        lambda i=index: self.rev != i or self.resends_list or self.answers_at_once), wait)
                 except TimeoutError:
                     pass
-            if writer in self.deaf:
+            if writer in self.unanswered:
                 continue
             state = self.state or ("up" if self.rev == 1 else "draining")
-            body = (told(self.rev, state, whole=index < 0 or self.stale) if self.rev != index
+            body = (list_body(self.rev, state, whole=index < 0 or self.resends_list) if self.rev != index
                     else json.dumps(listing(self.rev)).encode())
-            wound, self.wound = self.wound, None
-            (wound or asyncio.StreamWriter.write)(writer, answer(body))
+            corrupt, self.corrupt = self.corrupt, None
+            (corrupt or asyncio.StreamWriter.write)(writer, answer(body))
 
 
 class Scheduler:
-    """A watch, and when it was told of the drain; asks again after a failure as the module does at first."""
+    """A watch, and when it learned of the drain; subscribes again after a failure."""
 
     def __init__(self, address: tuple[str, int], limits: Limits, seed: int) -> None:
         self.drained, self.failures = 0.0, 0
         known = listing(1, target("s-1"), whole=True)
-        self.watch = Watch(address, NAMES, limits, known, self.told, seed)
+        self.watch = Watch(address, NAMES, limits, known, self.on_list, seed)
         self.watch.subscribe()
 
-    def told(self, event: api.WorkerList) -> None:
+    def on_list(self, event: api.WorkerList) -> None:
         if event.kind is api.ListKind.FAILED:
             self.failures += 1
             pause = 0.375 * 2 ** min(self.failures - 1, 4)
@@ -141,17 +141,17 @@
             self.drained = self.drained or time.monotonic()
 
 
-def test_schedulers_whose_watches_fall_silent_together_are_all_told_in_time() -> None:
+def test_schedulers_whose_watches_fall_silent_together_learn_of_a_drain_in_time() -> None:
     async def case() -> None:
-        count, discovery = 9, Turns(each=0.3)
+        count, discovery = 9, QueuedDiscovery(seconds_per_call=0.3)
         limits = Limits.fit(256, 32, 100, timedelta(seconds=0.25), timedelta(seconds=5))
         async with discovery.serving() as address:
             fleet = [Scheduler(address, limits, seed) for seed in range(count)]
-            await until(lambda: len(discovery.open) == count)
-            silent, discovery.deaf = time.monotonic(), set(discovery.open)
+            await until(lambda: len(discovery.open_watches) == count)
+            silent, discovery.unanswered = time.monotonic(), set(discovery.open_watches)
             await discovery.drain()
             await until(lambda: all(s.drained for s in fleet))
-            assert max(s.drained for s in fleet) - silent < TOLD + GRACE
+            assert max(s.drained for s in fleet) - silent < NOTIFIED_AFTER_S + GRACE_S
             for s in fleet:
                 s.watch.close()
 
@@ -165,12 +165,12 @@
     retry_most=timedelta(milliseconds=80))
 
 
-def half(writer: asyncio.StreamWriter, whole: bytes) -> None:
+def half_sent(writer: asyncio.StreamWriter, whole: bytes) -> None:
     writer.write(whole[: len(whole) - 20])
 
 
-def cut(writer: asyncio.StreamWriter, whole: bytes) -> None:
-    half(writer, whole)
+def cut_off(writer: asyncio.StreamWriter, whole: bytes) -> None:
+    half_sent(writer, whole)
     writer.close()
 
 
@@ -189,7 +189,7 @@
     more()
 
 
-def saying(body: bytes) -> Wound:
+def respond(body: bytes) -> Corruption:
     return lambda writer, _: writer.write(answer(body))
 
 
@@ -198,65 +198,67 @@
 
 
 @pytest.mark.parametrize("refusals", [0, 3])
-@pytest.mark.parametrize("each", [0.0, 0.2])
-@pytest.mark.parametrize("wound", [None, half, endless])
-def test_a_drain_that_a_silent_watch_missed_is_told_soon(
-    wound: Wound | None, each: float, refusals: int,
+@pytest.mark.parametrize("seconds_per_call", [0.0, 0.2])
+@pytest.mark.parametrize("corrupt", [None, half_sent, endless])
+def test_drain_missed_by_a_silent_watch_is_learned_soon(
+    corrupt: Corruption | None, seconds_per_call: float, refusals: int,
 ) -> None:
     async def case() -> None:
-        discovery = Turns(each)
+        discovery = QueuedDiscovery(seconds_per_call)
         async with discovery.serving() as address:
             s = Scheduler(address, SHORT, 1)
-            await until(lambda: len(discovery.calls) > 2)  # it goes on
-            discovery.wound, discovery.deaf = wound, set() if wound else set(discovery.open)
-            discovery.refuse = refusals
+            await until(lambda: len(discovery.calls) > 2)  # the watch is running
+            discovery.corrupt, discovery.unanswered = (
+                corrupt, set() if corrupt else set(discovery.open_watches))
+            discovery.calls_to_refuse = refusals
             began = time.monotonic()
             await discovery.drain()
             await until(lambda: s.drained)
             assert s.drained - began < 0.7 + 0.08 * refusals
-            assert not s.failures and discovery.away == refusals  # no word of it to the module
+            assert not s.failures and discovery.refused == refusals  # the listener is told of no failure
             s.watch.close()
 
     run(case())
 
 
-@pytest.mark.parametrize(("wound", "words"), [
-    (saying(b"{"), "not JSON"), (saying(b"{}"), "malformed list"),
-    (saying(b'{"rev":2,"all":false,"targets":[{"uid":"s-1"}]}'), "malformed list"),
-    (saying(told(2, "odd", whole=False)), "unknown state"),
-    (saying(told(2, "up", whole=True).replace(b"127.0.0.1:80", b"x")), "endpoint is no address"),
-    (saying(told(0, "up", whole=True)), "older than the current list (0 < 1)"),
-    (saying(told(0, "up", whole=False)), "older than the current list (0 < 1)"),
-    (saying(told(2, "up", whole=True).replace(b'"rev": 2', b'"rev": Infinity')), "malformed list"),
-    (saying(told(2, "up", whole=True).replace(b'"boot_ms": 0', b'"boot_ms": 1e999')), "malformed list"),
-    (saying(told(2, "up", whole=True).replace(b"true", b'"no"')), "all must be true or false"),
-    (saying(b'{"rev":2,"all":true,"targets":' + b"[" * 100_000), "not JSON"),
-    (saying(b'{"rev":2,"all":true,"targets":["s-1"]}'), "malformed list"), (saying(b"[]"), "malformed list"),
-    (oversized, "list over"), (endless, ""), (half, ""), (cut, ""), (reset, "")])
-def test_a_list_that_cannot_be_read_changes_nothing_and_is_asked_for_again(wound: Wound, words: str) -> None:
+@pytest.mark.parametrize(("corrupt", "reason"), [
+    (respond(b"{"), "not JSON"), (respond(b"{}"), "malformed list"),
+    (respond(b'{"rev":2,"all":false,"targets":[{"uid":"s-1"}]}'), "malformed list"),
+    (respond(list_body(2, "odd", whole=False)), "unknown state"),
+    (respond(list_body(2, "up", whole=True).replace(b"127.0.0.1:80", b"x")), "endpoint is not an address"),
+    (respond(list_body(0, "up", whole=True)), "older than the current list (0 < 1)"),
+    (respond(list_body(0, "up", whole=False)), "older than the current list (0 < 1)"),
+    (respond(list_body(2, "up", whole=True).replace(b'"rev": 2', b'"rev": Infinity')), "malformed list"),
+    (respond(list_body(2, "up", whole=True).replace(b'"boot_ms": 0', b'"boot_ms": 1e999')), "malformed list"),
+    (respond(list_body(2, "up", whole=True).replace(b"true", b'"no"')), "all must be true or false"),
+    (respond(b'{"rev":2,"all":true,"targets":' + b"[" * 100_000), "not JSON"),
+    (respond(b'{"rev":2,"all":true,"targets":["s-1"]}'), "malformed list"),
+    (respond(b"[]"), "malformed list"),
+    (oversized, "list over"), (endless, ""), (half_sent, ""), (cut_off, ""), (reset, "")])
+def test_malformed_list_changes_nothing_and_is_requested_again(corrupt: Corruption, reason: str) -> None:
     async def case() -> None:
-        discovery = Turns()
+        discovery = QueuedDiscovery()
         async with discovery.serving() as address:
             s = Scheduler(address, SHORT, 1)
             await until(lambda: len(discovery.calls) > 2)
-            number, discovery.wound = s.watch.number("s-1"), wound
+            number, discovery.corrupt = s.watch.number("s-1"), corrupt
             with capture_logs() as logs:
                 await discovery.drain()
                 await until(lambda: s.drained)
             assert number and s.watch.endpoint(number) is not None
             (line,) = [entry for entry in logs if entry["log_level"] == "warning"]
-            assert words in line.get("reason", "")
+            assert reason in line.get("reason", "")
             s.watch.close()
 
     run(case())
 
 
-def test_a_call_that_should_open_a_watch_and_is_never_answered_is_repeated_at_once() -> None:
+def test_unanswered_opening_call_is_repeated_at_once() -> None:
     async def case() -> None:
-        discovery = Turns()
+        discovery = QueuedDiscovery()
         await discovery.drain()
         async with discovery.serving() as address:
-            discovery.ignore, began = 2, time.monotonic()
+            discovery.calls_to_ignore, began = 2, time.monotonic()
             s = Scheduler(address, SHORT, 1)
             await until(lambda: s.drained)
             assert s.drained - began < 2 * 0.4 + 0.2 and not s.failures
@@ -266,13 +268,13 @@
 
 
 @pytest.mark.parametrize("failing", ["refused", "reset", "down"])
-def test_a_drain_is_told_within_a_second_of_a_discovery_that_can_be_reached_again(failing: str) -> None:
-    """However long it failed: ten calls, after which the decisions' next try would be 6 s away."""
+def test_drain_is_learned_within_a_second_of_discoverys_return(failing: str) -> None:
+    """However long it failed: after ten failures an exponential back-off would wait for 6 s."""
     async def case() -> None:
-        discovery = Turns()
+        discovery = QueuedDiscovery()
         async with discovery.serving() as address:
             s = Scheduler(address, SHORT, 1)
-            await until(lambda: len(discovery.calls) > 2)  # the watch is open, and nothing was due
+            await until(lambda: len(discovery.calls) > 2)  # the watch is open, and no change is pending
             if failing == "down":
                 down, before = await discovery.go_down(), len(discovery.calls)
                 await asyncio.sleep(0.9)
@@ -282,10 +284,10 @@
                 await discovery.come_back(down)
             else:
                 if failing == "refused":
-                    discovery.refuse, discovery.open = 10, set()
+                    discovery.calls_to_refuse, discovery.open_watches = 10, set()
                 else:
-                    discovery.resets = 10
-                await until(lambda: not discovery.refuse and not discovery.resets)
+                    discovery.calls_to_reset = 10
+                await until(lambda: not discovery.calls_to_refuse and not discovery.calls_to_reset)
                 began = time.monotonic()
                 await discovery.drain()
             await until(lambda: s.drained)
@@ -295,27 +297,28 @@
     run(case())
 
 
-def test_the_times_of_a_watch_fit_into_the_time_after_which_a_change_counts_as_told() -> None:
-    """A silent watch is given up after its wait and grace; its next call may be refused once, and has 2 s."""
+def test_times_of_a_watch_fit_into_the_notification_time() -> None:
+    """A silent watch ends after its wait and grace; the next call may be refused once and queued 2 s."""
     turn = timedelta(seconds=2)
     for limits in (Limits(), Limits.fit(256, 32, 100, timedelta(seconds=0.5), timedelta(seconds=5))):
         given_up = limits.watch_most + limits.watch_grace
-        assert given_up + limits.retry + turn < timedelta(seconds=TOLD)
+        assert given_up + limits.retry + turn < timedelta(seconds=NOTIFIED_AFTER_S)
         assert limits.watch_pace < timedelta(milliseconds=200)  # the next call continues the watch
-        assert limits.fetch + turn < timedelta(seconds=TOLD)  # one call unanswered, then one that is
-        # Any number of failures: from the return the longest pause, one refusal and its turn.
-        assert limits.retry_most + limits.connect + limits.retry + turn < timedelta(seconds=TOLD)
+        # One unanswered call, then one that is answered.
+        assert limits.fetch + turn < timedelta(seconds=NOTIFIED_AFTER_S)
+        # After any number of failures, from discovery's return: the longest pause, one refusal and its turn.
+        assert limits.retry_most + limits.connect + limits.retry + turn < timedelta(seconds=NOTIFIED_AFTER_S)
 
 
-def test_an_outage_is_one_line_and_its_end_another() -> None:
+def test_an_outage_logs_one_line_and_its_end_another() -> None:
     async def case() -> None:
-        discovery = Turns()
+        discovery = QueuedDiscovery()
         async with discovery.serving() as address:
             s = Scheduler(address, SHORT, 1)
             await until(lambda: len(discovery.calls) > 2)
             with capture_logs() as logs:
-                discovery.refuse, discovery.open = 6, set()
-                await until(lambda: not discovery.refuse)
+                discovery.calls_to_refuse, discovery.open_watches = 6, set()
+                await until(lambda: not discovery.calls_to_refuse)
                 await discovery.drain()
                 await until(lambda: s.drained)
             assert [entry["event"] for entry in logs] == ["discovery_failed", "discovery_back"]
@@ -325,15 +328,15 @@
     run(case())
 
 
-def test_a_discovery_that_tells_nothing_but_older_lists_counts_again_after_the_longest_wait() -> None:
+def test_older_lists_are_accepted_after_the_longest_wait() -> None:
     async def case() -> None:
-        discovery = Turns()
+        discovery = QueuedDiscovery()
         discovery.rev, discovery.state = 7, "up"
         async with discovery.serving() as address:
             s = Scheduler(address, replace(SHORT, older=timedelta(seconds=0.5)), 1)
             await until(lambda: len(discovery.calls) > 2)
             calls, began = len(discovery.calls), time.monotonic()
-            discovery.rev, discovery.state, discovery.stale = 3, "draining", True
+            discovery.rev, discovery.state, discovery.resends_list = 3, "draining", True
             await until(lambda: s.drained)
             assert 0.4 < s.drained - began < 1.0 and len(discovery.calls) - calls < 25
             s.watch.close()
@@ -341,38 +344,38 @@
     run(case())
 
 
-@pytest.mark.parametrize("way", ["hasty", "stale"])
-def test_a_discovery_that_answers_without_waiting_is_asked_no_faster_than_the_pace(way: str) -> None:
-    """Whether it says that nothing is new or tells its whole list again; a drain is heard of all the same."""
+@pytest.mark.parametrize("behaviour", ["answers_at_once", "resends_list"])
+def test_discovery_that_answers_at_once_is_called_no_faster_than_the_pace(behaviour: str) -> None:
+    """Whether it reports no change or resends its whole list; a drain is learned of all the same."""
     async def case() -> None:
-        discovery = Turns()
+        discovery = QueuedDiscovery()
         async with discovery.serving() as address:
             s = Scheduler(address, SHORT, 1)
             await until(lambda: len(discovery.calls) > 2)
-            setattr(discovery, way, True)
+            setattr(discovery, behaviour, True)
             calls, began = len(discovery.calls), time.monotonic()
             await until(lambda: len(discovery.calls) >= calls + 20)
             pace = SHORT.watch_pace.total_seconds()
-            # Of these calls' starts all but the first are at least the pace after the one before.
+            # All calls but the first start at least one pace after the previous one.
             assert time.monotonic() - began > (len(discovery.calls) - calls - 1) * pace
             began = time.monotonic()
             await discovery.drain()
             await until(lambda: s.drained)
-            assert s.drained - began < pace + 0.1 and len(discovery.open) == 1 and not s.failures
+            assert s.drained - began < pace + 0.1 and len(discovery.open_watches) == 1 and not s.failures
             s.watch.close()
 
     run(case())
 
 
-def test_a_new_process_and_a_moved_one_hear_of_a_drain_at_once_or_soon_after_refusals() -> None:
+def test_new_and_moved_processes_learn_of_a_drain_soon() -> None:
     async def case() -> None:
-        former, discovery = Turns(), Turns()
+        previous, discovery = QueuedDiscovery(), QueuedDiscovery()
         await discovery.drain()
-        async with former.serving() as before, discovery.serving() as address:
+        async with previous.serving() as before, discovery.serving() as address:
             began, fresh, moved = time.monotonic(), Scheduler(address, SHORT, 1), Scheduler(before, SHORT, 2)
-            await until(lambda: former.open and fresh.drained)
+            await until(lambda: previous.open_watches and fresh.drained)
             assert fresh.drained - began < 0.3
-            discovery.refuse, began = 4, time.monotonic()
+            discovery.calls_to_refuse, began = 4, time.monotonic()
             moved.watch.move(address)
             await until(lambda: moved.drained)
             assert moved.drained - began < 0.7 and not moved.failures
@@ -382,40 +385,40 @@
     run(case())
 
 
-def ending(writer: asyncio.StreamWriter, whole: bytes) -> None:
+def closing_after_answer(writer: asyncio.StreamWriter, whole: bytes) -> None:
     writer.write(whole.replace(b"\r\n", b"\r\nConnection: close\r\n", 1))
     writer.close()
 
 
-def test_a_list_that_is_pushed_stays_in_force_where_discovery_ends_each_connection() -> None:
-    """Without a watch what its agent has counts at once: each call must be answered at once, too."""
+def test_pushed_list_stays_valid_if_discovery_closes_each_connection() -> None:
+    """Where lists are pushed, changes count at once without a watch, so it must be reopened at once."""
     async def case() -> None:
-        discovery = Turns()
+        discovery = QueuedDiscovery()
         async with discovery.serving() as address:
             known = listing(1, target("s-1"), whole=True)
             watch = Watch(address, NAMES, SHORT, known, lambda _: None, 1, pushed=True)
-            discovery.wound = ending
+            discovery.corrupt = closing_after_answer
             watch.subscribe()
             await watch.first_list(timedelta(seconds=5))
-            expired, until_ = 0, time.monotonic() + 0.5
-            while time.monotonic() < until_:
-                discovery.wound = ending
+            expired, deadline = 0, time.monotonic() + 0.5
+            while time.monotonic() < deadline:
+                discovery.corrupt = closing_after_answer
                 expired += watch.list_expired()
                 await asyncio.sleep(0.001)
-            assert expired <= 10  # each time for as long as a call takes, some milliseconds
+            assert expired <= 10  # each time only for the few milliseconds that a call takes
             watch.close()
 
     run(case())
 
 
-def test_a_discovery_that_ends_each_connection_is_asked_no_more_often() -> None:
+def test_discovery_that_closes_each_connection_is_called_no_more_often() -> None:
     async def case() -> None:
-        discovery = Turns()
+        discovery = QueuedDiscovery()
         async with discovery.serving() as address:
             s = Scheduler(address, SHORT, 1)
-            until_ = time.monotonic() + 0.5
-            while time.monotonic() < until_:
-                discovery.wound = ending
+            deadline = time.monotonic() + 0.5
+            while time.monotonic() < deadline:
+                discovery.corrupt = closing_after_answer
                 await asyncio.sleep(0.001)
             assert 5 <= len(discovery.calls) <= 12
             s.watch.close()
