--- a/tests/discovery_model.py
+++ b/tests/discovery_model.py
@@ -1,6 +1,7 @@
-"""A model of the platform's discovery in virtual time, after the pages: turns, crowds, silence, outages.
+"""A model of the platform's discovery in virtual time: call queues, overload, silent watches, outages.
 
-It knows nothing of the program but the connection that a watch makes its calls on.
+It follows the platform's documentation and shares no code with the program except the interface of the
+connection on which a watch makes its calls.
 """
 
 import asyncio
@@ -13,13 +14,13 @@
 from hazellead.limits import Limits
 from hazellead.platform.discovery_calls import RefusedError
 
-CONTINUES_WITHIN = 0.2  # seconds after an answer for which the next call continues a watch
-NETWORK = 0.001  # seconds one way
-ROUNDING = 1e-6  # seconds by which a wait may end early
+CONTINUES_WITHIN_S = 0.2  # after an answer, in which the next call continues a watch
+NETWORK_S = 0.001  # one way
+ROUNDING_S = 1e-6  # by which a wait may end early
 
 
 class Crowd(Enum):
-    """What becomes of a call that would wait for its turn for longer than the longest wait."""
+    """What happens to a call that would be queued for longer than the longest wait."""
 
     REFUSED_AT_ONCE = "refused at once"
     REFUSED_AFTER_WAIT = "refused after the longest wait"
@@ -27,16 +28,16 @@
 
 
 class Outage(Enum):
-    """What calls meet while discovery is down."""
+    """How discovery behaves while it is down."""
 
     NO_TURN = "no turn"  # watches end with 503 at once, other calls after the longest wait
     NOBODY_LISTENS = "nobody listens"  # watches are reset, connections refused
-    AGENT_SILENT = "agent silent"  # where lists are pushed: nothing is answered
+    AGENT_SILENT = "agent silent"  # where lists are pushed: no call is answered
 
 
 @dataclass(frozen=True)
 class Change:
-    """One change of one server, as it was made."""
+    """One change of one server."""
 
     number: int
     at: float
@@ -48,15 +49,15 @@
 
 @dataclass
 class Registry:
-    """The true list of servers. Every address of discovery tells this."""
+    """The true list of servers, which every discovery service reports."""
 
     loop: asyncio.AbstractEventLoop
     changes: list[Change] = field(default_factory=list)
     present: dict[str, Change] = field(default_factory=dict)
-    moved_on: asyncio.Event = field(default_factory=asyncio.Event)
+    changed: asyncio.Event = field(default_factory=asyncio.Event)
 
     def change(self, uid: str, state: str, *, endpoint: str = "", boot_ms: int = 0) -> Change:
-        """Make one change."""
+        """Change a server's state; returns the change."""
         before = self.present.get(uid)
         endpoint = endpoint or (before.endpoint if before else f"10.0.0.{len(self.changes) + 1}:80")
         made = Change(len(self.changes) + 1, self.loop.time(), uid, state, endpoint, boot_ms)
@@ -65,7 +66,7 @@
             self.present.pop(uid, None)
         else:
             self.present[uid] = made
-        announced, self.moved_on = self.moved_on, asyncio.Event()
+        announced, self.changed = self.changed, asyncio.Event()
         announced.set()
         return made
 
@@ -75,13 +76,13 @@
 
 
 def target(change: Change) -> dict[str, Any]:
-    """Write one line of a list."""
+    """Return a server's entry of a list, in discovery's JSON form."""
     return {"uid": change.uid, "endpoint": change.endpoint, "az": "a", "model": "m1", "pod_group": 0,
             "state": change.state, "capacity_hint": 1.0, "boot_ms": change.boot_ms}
 
 
 class Service:
-    """Discovery at one address: its own versions, its own turns."""
+    """The discovery service at one address, with its own versions and its own queue of calls."""
 
     def __init__(
         self, registry: Registry, calls_per_s: float, *, first_version: int = 0, longest_wait: float = 2.0,
@@ -90,11 +91,11 @@
         self.registry, self.loop = registry, registry.loop
         self.calls_per_s, self.longest_wait, self.crowd = calls_per_s, longest_wait, crowd
         self.first_version = first_version
-        self.lines_per_call = lines_per_call  # lines that cost as much as a call; 0: none
+        self.lines_per_call = lines_per_call  # entries that cost as much as a call; 0: no cost
         self.pushed = pushed
-        self.agent_has = registry.latest  # where lists are pushed: what had come when it went down
+        self.agent_latest = registry.latest  # where lists are pushed: the newest change when it went down
         self.outage: Outage | None = None
-        self.ends_of_outages: list[tuple[float, float]] = []  # begin and end
+        self.past_outages: list[tuple[float, float]] = []  # begin and end
         self._went_down = 0.0
         self._turn_free = 0.0
         self._state_changed = asyncio.Event()
@@ -105,17 +106,17 @@
 
     def go_down(self, outage: Outage) -> None:
         self.outage, self._went_down = outage, self.loop.time()
-        self.agent_has = self.registry.latest
+        self.agent_latest = self.registry.latest
         self._announce()
 
     def come_back(self) -> None:
         self.outage = None
-        self.ends_of_outages.append((self._went_down, self.loop.time()))
+        self.past_outages.append((self._went_down, self.loop.time()))
         self._turn_free = self.loop.time()
         self._announce()
 
     def silence_watches(self) -> None:
-        """Let every open watch fall silent."""
+        """Break every open watch without a sign to the client."""
         for connection in self.connections:
             if connection.watch_open:
                 connection.fall_silent(self.loop.time())
@@ -132,36 +133,36 @@
         announced.set()
 
     def reachable_since(self, now: float) -> float:
-        """Return since when it could be reached without a break; infinity while it is down."""
+        """Return the time since which it has been reachable; infinity while it is down."""
         if self.outage:
             return float("inf")
-        return self.ends_of_outages[-1][1] if self.ends_of_outages else 0.0
+        return self.past_outages[-1][1] if self.past_outages else 0.0
 
     def reached_after(self, at: float) -> float:
-        """Return when, from a moment on, it could first be reached; infinity if not yet."""
+        """Return the first time from ``at`` on when it was reachable; infinity if there is none yet."""
         if self.outage and at >= self._went_down:
             return float("inf")
-        return next((end for begin, end in self.ends_of_outages if begin <= at < end), at)
+        return next((end for begin, end in self.past_outages if begin <= at < end), at)
 
-    # What a connection asks for.
+    # Called by connections.
 
     @property
-    def has(self) -> int:
-        """Return the number of the newest change that it can tell."""
-        return self.agent_has if self.pushed and self.outage else self.registry.latest
+    def latest(self) -> int:
+        """Number of the newest change that it can report."""
+        return self.agent_latest if self.pushed and self.outage else self.registry.latest
 
-    async def turn(self, lines: int) -> None:
-        """Wait for a turn; raises what the call ends in without one."""
+    async def wait_for_turn(self, lines: int) -> None:
+        """Wait until the call's turn; raises RefusedError or StreamClosedError if it gets none."""
         began = self.loop.time()
         while True:
             if self.outage:
-                await self._until_changed(began + self.longest_wait)
+                await self._wait_for_state_change(began + self.longest_wait)
             else:
                 start = max(self.loop.time(), self._turn_free)
                 cost = 1.0 / self.calls_per_s
                 if self.lines_per_call:
                     cost *= 1 + lines / self.lines_per_call
-                if start + cost - began <= self.longest_wait + ROUNDING:
+                if start + cost - began <= self.longest_wait + ROUNDING_S:
                     self._turn_free = start + cost
                     await asyncio.sleep(self._turn_free - self.loop.time())
                     if not self.outage:
@@ -171,22 +172,22 @@
                     self.refused += 1
                     raise RefusedError("status 503")
                 await asyncio.sleep(began + self.longest_wait - self.loop.time())
-            if self.loop.time() >= began + self.longest_wait - ROUNDING:
+            if self.loop.time() >= began + self.longest_wait - ROUNDING_S:
                 self.refused += 1
                 if self.crowd is Crowd.RESET_AFTER_WAIT:
                     raise StreamClosedError(ConnectionResetError(104, "Connection reset by peer"))
                 raise RefusedError("status 503")
 
-    async def _until_changed(self, until: float) -> None:
+    async def _wait_for_state_change(self, until: float) -> None:
         try:
             async with asyncio.timeout(max(0.0, until - self.loop.time())):
                 await self._state_changed.wait()
         except TimeoutError:
             pass
 
-    async def until_news_or(self, until: float, index: int) -> None:
-        """Wait until there is something newer than a version, a fault, or that time."""
-        news, fault = self.registry.moved_on, self._state_changed
+    async def wait_for_change(self, until: float, index: int) -> None:
+        """Wait until there is a change, the service's state changes, or ``until`` has come."""
+        news, fault = self.registry.changed, self._state_changed
         waits = [asyncio.ensure_future(event.wait()) for event in (news, fault)]
         try:
             left = max(0.0, until - self.loop.time())
@@ -196,64 +197,64 @@
                 wait.cancel()
 
     def answer(self, index: int | None) -> dict[str, Any]:
-        """Write what is newer than a version, or the whole list."""
-        version = self.first_version + self.has
+        """Return the changes since a version, or the whole list if it is None, in discovery's JSON form."""
+        version = self.first_version + self.latest
         if index is None:
-            known = self.registry.changes[: self.has]
+            known = self.registry.changes[: self.latest]
             present: dict[str, Change] = {}
             for change in known:
                 present[change.uid] = change
             targets = [target(c) for c in present.values() if c.state != "removed"]
             return {"rev": version, "all": True, "targets": targets}
         newer: dict[str, Change] = {}
-        for change in self.registry.changes[max(0, index - self.first_version): self.has]:
+        for change in self.registry.changes[max(0, index - self.first_version): self.latest]:
             newer[change.uid] = change
         return {"rev": version, "all": False, "targets": [target(c) for c in newer.values()]}
 
 
 class Connection:
-    """One process's connection to discovery."""
+    """A process's connection to discovery; implements discovery_calls.DiscoveryConnection."""
 
-    def __init__(self, service: Service, process: "Audience") -> None:
-        self.service, self.process, self.loop = service, process, service.loop
+    def __init__(self, service: Service, observer: "Observer") -> None:
+        self.service, self.observer, self.loop = service, observer, service.loop
         self.last_answer: float | None = None
         self.watch_open = self.silent = self.reset = self.closed = False
         service.connections.append(self)
 
     @property
     def quiet(self) -> bool:
-        """Say whether it is open."""
+        """Whether it is open."""
         return not self.closed
 
     def close(self) -> None:
-        """End it."""
+        """Close it."""
         self.closed, self.watch_open = True, False
         if self in self.service.connections:
             self.service.connections.remove(self)
 
     def fall_silent(self, since: float) -> None:
-        """Answer nothing any more; the watch on it is broken."""
+        """Answer no more calls; the watch on it is broken."""
         self.silent, self.watch_open = True, False
-        self.process.watch_fell_silent(since)
+        self.observer.watch_fell_silent(since)
 
     async def ask(self, query: str) -> Any:
         """Answer one call."""
         self.service.calls += 1
-        given = dict(part.split("=") for part in query.lstrip("?").split("&") if part)
-        index = int(given["index"]) if "index" in given else None
-        await asyncio.sleep(NETWORK)
+        parameters = dict(part.split("=") for part in query.lstrip("?").split("&") if part)
+        index = int(parameters["index"]) if "index" in parameters else None
+        await asyncio.sleep(NETWORK_S)
         if self.silent:
             await asyncio.Event().wait()
         service, now = self.service, self.loop.time()
-        continues = self.last_answer is not None and now - self.last_answer <= CONTINUES_WITHIN
+        continues = self.last_answer is not None and now - self.last_answer <= CONTINUES_WITHIN_S
         self.watch_open = self.watch_open and continues
         if not continues and not service.pushed:
-            await service.turn(len(service.registry.present) if index is None else 0)
-        await self._wait(index, float(given.get("wait", 0)) / 1000)
+            await service.wait_for_turn(len(service.registry.present) if index is None else 0)
+        await self._wait(index, float(parameters.get("wait", 0)) / 1000)
         answer = service.answer(index)
         self.last_answer, self.watch_open = self.loop.time(), True
-        self.process.written(service, service.has, self.loop.time())
-        await asyncio.sleep(NETWORK)
+        self.observer.written(service, service.latest, self.loop.time())
+        await asyncio.sleep(NETWORK_S)
         return answer
 
     async def _wait(self, index: int | None, span: float) -> None:
@@ -265,19 +266,19 @@
             if self.silent:
                 await asyncio.Event().wait()
             if service.outage:
-                await self._meet_outage(service.outage)
-            elif index is None or service.first_version + service.has > index or (
-                    self.loop.time() >= until - ROUNDING):
+                await self._apply_outage(service.outage)
+            elif index is None or service.first_version + service.latest > index or (
+                    self.loop.time() >= until - ROUNDING_S):
                 return
             if not service.outage:
-                await service.until_news_or(until, index or 0)
+                await service.wait_for_change(until, index or 0)
 
-    async def _meet_outage(self, outage: Outage) -> None:
+    async def _apply_outage(self, outage: Outage) -> None:
         if outage is Outage.AGENT_SILENT:
             while self.service.outage:
-                await self.service._until_changed(self.loop.time() + 1000)
-            if self.watch_open:  # it has stayed silent; only calls made since are answered
-                self.fall_silent(self.service.ends_of_outages[-1][0])
+                await self.service._wait_for_state_change(self.loop.time() + 1000)
+            if self.watch_open:  # the call stays unanswered; only calls made since the outage are answered
+                self.fall_silent(self.service.past_outages[-1][0])
                 await asyncio.Event().wait()
             return
         self.watch_open = False
@@ -287,28 +288,28 @@
         raise StreamClosedError(ConnectionResetError(104, "Connection reset by peer"))
 
 
-class Audience:
-    """What a process is told by discovery; the referee listens here."""
+class Observer:
+    """Receives what discovery reports to one process; the referee implements it."""
 
     def written(self, service: Service, number: int, now: float) -> None:
-        """Note that an answer with all changes up to a number was written."""
+        """Called when an answer with all changes up to ``number`` was written."""
 
     def watch_fell_silent(self, now: float) -> None:
-        """Note that a watch broke without a sign."""
+        """Called when a watch broke without a sign to the process."""
 
 
 class Network:
-    """The addresses of discovery."""
+    """All discovery services by their address."""
 
     def __init__(self) -> None:
         self.services: dict[tuple[str, int], Service] = {}
 
-    def connector(self, process: Audience) -> Any:
-        """Return what opens a process's connections."""
+    def connector(self, observer: Observer) -> Any:
+        """Return a function that opens connections for a process."""
         async def connect(address: tuple[str, int], limits: Limits) -> Connection:
             service = self.services[address]
-            await asyncio.sleep(2 * NETWORK)
+            await asyncio.sleep(2 * NETWORK_S)
             if service.outage is Outage.NOBODY_LISTENS:
                 raise StreamClosedError(ConnectionRefusedError(111, "Connection refused"))
-            return Connection(service, process)
+            return Connection(service, observer)
         return connect
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -10,7 +10,7 @@
 from datetime import timedelta
 from typing import Any
 
-from discovery_model import Audience, Change, Network, Registry, Service, target
+from discovery_model import Change, Network, Observer, Registry, Service, target
 from virtual_loop import Timers, VirtualClock
 
 from hazellead.core.scheduler import Scheduler
@@ -42,7 +42,7 @@
     moved: list[float] = field(default_factory=list)  # new settings, until the new address has told its list
 
 
-class Process(Audience):
+class Process(Observer):
     """One scheduler with its watch; ``restart`` begins it anew from the list it held."""
 
     def __init__(self, fleet: "Fleet", number: int) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -1,4 +1,4 @@
-"""The watch against a stand-in discovery: it goes on from what is known, at once, and tells its failures."""
+"""The watch against a stand-in discovery: resuming, retries, fetches, expiry of the list, and moves."""
 
 import asyncio
 import json
@@ -29,13 +29,13 @@
 
 
 class Discovery:
-    """Answers each call with the next answer; None ends the connection, and after the last it is silent."""
+    """Answers each call with the next answer; None closes the connection; no answer after the last one."""
 
     def __init__(self, *answers: Any) -> None:
-        self.answers, self.calls, self.at = list(answers), list[str](), list[float]()
+        self.answers, self.calls, self.times = list(answers), list[str](), list[float]()
         self.writers: list[asyncio.StreamWriter] = []
 
-    def tell(self, answer: dict[str, Any], writer: asyncio.StreamWriter | None = None) -> None:
+    def respond(self, answer: dict[str, Any], writer: asyncio.StreamWriter | None = None) -> None:
         """Answer the last call, or the one on this connection."""
         body = json.dumps(answer).encode()
         writer = writer or self.writers[-1]
@@ -49,7 +49,7 @@
             except (asyncio.IncompleteReadError, ConnectionError):
                 return
             self.calls.append(first.split()[1])
-            self.at.append(time.monotonic())
+            self.times.append(time.monotonic())
             if not self.answers:
                 continue
             answer = self.answers.pop(0)
@@ -58,135 +58,135 @@
                 return
             status, body = (200, json.dumps(answer).encode()) if isinstance(answer, dict) else answer
             writer.write(b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body))
-            self.at[-1] = time.monotonic()
+            self.times[-1] = time.monotonic()
 
 
 Check = Callable[[Watch, Discovery, list[api.WorkerList]], Any]
 
 
-def watching(
+def run_watch(
     check: Check, *answers: Any, known: dict[str, Any] | None = None, seconds: float = 10.0, **more: Any,
 ) -> None:
     async def case() -> None:
-        port, told, discovery = free_port(), list[api.WorkerList](), Discovery(*answers)
+        port, lists, discovery = free_port(), list[api.WorkerList](), Discovery(*answers)
         server = await asyncio.start_server(discovery.serve, "127.0.0.1", port)
-        watch = Watch(("127.0.0.1", port), NAMES, Limits(), known or {}, told.append, **more)
-        await asyncio.wait_for(check(watch, discovery, told), seconds)
+        watch = Watch(("127.0.0.1", port), NAMES, Limits(), known or {}, lists.append, **more)
+        await asyncio.wait_for(check(watch, discovery, lists), seconds)
         watch.close()
         server.close()
 
     run(case())
 
 
-def test_it_goes_on_from_the_version_it_holds() -> None:
-    async def check(watch: Watch, discovery: Discovery, told: list[api.WorkerList]) -> None:
+def test_watch_resumes_from_the_known_version() -> None:
+    async def check(watch: Watch, discovery: Discovery, lists: list[api.WorkerList]) -> None:
         watch.subscribe()
-        watch.subscribe()  # of no further effect while it runs
+        watch.subscribe()  # has no effect while it runs
         await until(lambda: len(discovery.calls) == 3)
         assert discovery.calls[0] == "/discovery/hosts?index=41&wait=1"  # its answer shows that it is open
         asked = [re.fullmatch(r"/discovery/hosts\?index=(\d+)&wait=(\d+)", c) for c in discovery.calls[1:]]
         assert [m and m[1] for m in asked] == ["42", "50"]
         assert all(m and 1000 <= int(m[2]) <= 4000 for m in asked)
-        assert discovery.at[1] - discovery.at[0] < 0.2 and discovery.at[2] - discovery.at[1] < 0.2
-        kinds = [t.kind for t in told]
+        assert discovery.times[1] - discovery.times[0] < 0.2 and discovery.times[2] - discovery.times[1] < 0.2
+        kinds = [t.kind for t in lists]
         assert kinds == [api.ListKind.CACHED, api.ListKind.CHANGES, api.ListKind.FULL]
-        (drained,) = told[1].entries
+        (drained,) = lists[1].entries
         assert drained == api.WorkerEntry(1, 1, 1, 3, api.Phase.DRAINING, 1.5, 7_000)
-        assert [e.worker for e in told[2].entries] == [2, 1]
+        assert [e.worker for e in lists[2].entries] == [2, 1]
         endpoint = watch.endpoint(2)
         assert endpoint and (endpoint.uid, endpoint.host, endpoint.port) == ("s-2", "127.0.0.1", 81)
 
-    watching(check, listing(42, target("s-1", "draining", boot_ms=7)),
+    run_watch(check, listing(42, target("s-1", "draining", boot_ms=7)),
              listing(50, target("s-2", endpoint="127.0.0.1:81"), target("s-1"), whole=True),
              known=listing(41, target("s-1"), whole=True))
 
 
 @pytest.mark.parametrize("answer", [None, (503, b"")])
-def test_a_watch_asks_again_after_each_failure_from_the_version_it_holds(answer: Any) -> None:
-    """Nobody has to ask for it: whoever waits for the decisions' next try hears too late."""
-    async def check(watch: Watch, discovery: Discovery, told: list[api.WorkerList]) -> None:
+def test_failed_calls_are_retried_from_the_known_version(answer: Any) -> None:
+    """The watch retries by itself: waiting for the scheduler's next attempt would take too long."""
+    async def check(watch: Watch, discovery: Discovery, lists: list[api.WorkerList]) -> None:
         watch.subscribe()
         await until(lambda: len(discovery.calls) == 6)
-        assert [t.kind for t in told] == [api.ListKind.FULL, api.ListKind.CHANGES]
-        assert told[0].entries[0].worker == 1 and "index=9&" in discovery.calls[4]
-        pauses = [after - before for before, after in zip(discovery.at, discovery.at[1:], strict=False)]
-        # After two failures, then none, then one more.
+        assert [t.kind for t in lists] == [api.ListKind.FULL, api.ListKind.CHANGES]
+        assert lists[0].entries[0].worker == 1 and "index=9&" in discovery.calls[4]
+        pauses = [after - before for before, after in zip(discovery.times, discovery.times[1:], strict=False)]
+        # Pauses follow the first two failures and the last one, but not the answers.
         assert all(0.2 < p < 1.1 for p in (*pauses[:2], pauses[3])) and max(pauses[2], pauses[4]) < 0.2
 
-    watching(check, answer, answer, listing(9, target("s-1"), whole=True), answer,
+    run_watch(check, answer, answer, listing(9, target("s-1"), whole=True), answer,
              listing(9), seconds=30)
 
 
-def test_the_whole_list_can_be_fetched_and_an_absent_service_is_told() -> None:
-    async def check(watch: Watch, discovery: Discovery, told: list[api.WorkerList]) -> None:
+def test_fetch_returns_the_whole_list_or_reports_a_failure() -> None:
+    async def check(watch: Watch, discovery: Discovery, lists: list[api.WorkerList]) -> None:
         watch.fetch()
-        await until(lambda: told)
-        assert discovery.calls == ["/discovery/hosts"] and told[0].kind is api.ListKind.FULL
-        absent = Watch(("127.0.0.1", free_port()), NAMES, Limits(), {}, told.append)
+        await until(lambda: lists)
+        assert discovery.calls == ["/discovery/hosts"] and lists[0].kind is api.ListKind.FULL
+        absent = Watch(("127.0.0.1", free_port()), NAMES, Limits(), {}, lists.append)
         absent.fetch()
-        await until(lambda: len(told) == 2)
-        assert told[1].kind is api.ListKind.FAILED
+        await until(lambda: len(lists) == 2)
+        assert lists[1].kind is api.ListKind.FAILED
 
-    watching(check, listing(9, target("s-1"), whole=True))
+    run_watch(check, listing(9, target("s-1"), whole=True))
 
 
-def test_a_fetched_list_does_not_undo_a_newer_drain() -> None:
-    """The fetch was answered before the drain, and its answer comes after it."""
-    async def check(watch: Watch, discovery: Discovery, told: list[api.WorkerList]) -> None:
+def test_older_fetched_list_does_not_undo_a_drain() -> None:
+    """The fetch is answered before the drain, but its answer arrives after it."""
+    async def check(watch: Watch, discovery: Discovery, lists: list[api.WorkerList]) -> None:
         watch.subscribe()
         await until(lambda: len(discovery.calls) == 2)  # the watch is open
-        watching_, = discovery.writers
+        watching_writer, = discovery.writers
         watch.fetch()
         await until(lambda: len(discovery.calls) == 3)
-        discovery.tell(listing(42, target("s-1", "draining")), watching_)
-        await until(lambda: len(told) == 3)
-        discovery.tell(listing(41, target("s-1"), whole=True))
-        await until(lambda: len(told) == 4)
-        assert [t.kind for t in told[2:]] == [api.ListKind.CHANGES, api.ListKind.FAILED]
+        discovery.respond(listing(42, target("s-1", "draining")), watching_writer)
+        await until(lambda: len(lists) == 3)
+        discovery.respond(listing(41, target("s-1"), whole=True))
+        await until(lambda: len(lists) == 4)
+        assert [t.kind for t in lists[2:]] == [api.ListKind.CHANGES, api.ListKind.FAILED]
 
-    watching(check, listing(41), known=listing(41, target("s-1"), whole=True))
+    run_watch(check, listing(41), known=listing(41, target("s-1"), whole=True))
 
 
-def test_a_new_process_follows_a_discovery_that_was_set_up_anew_at_once() -> None:
-    """The list from its last life has a higher version: that means nothing to this discovery."""
-    async def whole(watch: Watch, discovery: Discovery, told: list[api.WorkerList]) -> None:
+def test_new_process_accepts_lower_versions_of_a_reset_discovery() -> None:
+    """The list from before the restart has a higher version, which is unrelated to the reset discovery's."""
+    async def whole(watch: Watch, discovery: Discovery, lists: list[api.WorkerList]) -> None:
         watch.subscribe()
         await until(lambda: len(discovery.calls) >= 2)
         assert "index=41&" in discovery.calls[0] and "index=3&" in discovery.calls[1]
-        assert [t.kind for t in told] == [api.ListKind.CACHED, api.ListKind.FULL]
+        assert [t.kind for t in lists] == [api.ListKind.CACHED, api.ListKind.FULL]
 
-    async def changes(watch: Watch, discovery: Discovery, told: list[api.WorkerList]) -> None:
+    async def changes(watch: Watch, discovery: Discovery, lists: list[api.WorkerList]) -> None:
         watch.subscribe()
         await until(lambda: len(discovery.calls) >= 3)
-        assert discovery.calls[1] == "/discovery/hosts"  # changes to its list say nothing of the one held
-        assert [t.kind for t in told] == [api.ListKind.CACHED, api.ListKind.FULL]
+        assert discovery.calls[1] == "/discovery/hosts"  # its changes do not apply to the known list
+        assert [t.kind for t in lists] == [api.ListKind.CACHED, api.ListKind.FULL]
         assert not watch.list_expired()
 
     known = listing(41, target("s-1"), whole=True)
-    watching(whole, listing(3, target("s-2"), whole=True), known=known)
-    watching(changes, listing(3, target("s-3")), listing(3, target("s-2"), whole=True), known=known)
+    run_watch(whole, listing(3, target("s-2"), whole=True), known=known)
+    run_watch(changes, listing(3, target("s-3")), listing(3, target("s-2"), whole=True), known=known)
 
 
-def test_a_list_that_another_discovery_has_told_is_not_asked_from() -> None:
-    async def check(watch: Watch, discovery: Discovery, told: list[api.WorkerList]) -> None:
+def test_version_of_another_discoverys_list_is_not_used() -> None:
+    async def check(watch: Watch, discovery: Discovery, lists: list[api.WorkerList]) -> None:
         watch.subscribe()
         await until(lambda: len(discovery.calls) >= 1)
         assert discovery.calls[0] == "/discovery/hosts"
 
-    watching(check, known=listing(41, target("s-1"), whole=True), known_elsewhere=True)
+    run_watch(check, known=listing(41, target("s-1"), whole=True), known_elsewhere=True)
 
 
-def test_the_list_expires_before_the_first_answer_and_not_after_it() -> None:
-    async def check(watch: Watch, discovery: Discovery, told: list[api.WorkerList]) -> None:
+def test_lease_begins_with_the_first_answer() -> None:
+    async def check(watch: Watch, discovery: Discovery, lists: list[api.WorkerList]) -> None:
         assert watch.list_expired()
         watch.subscribe()
         await watch.first_list(timedelta(seconds=5))
-        assert not watch.list_expired() and len(told) == 2
+        assert not watch.list_expired() and len(lists) == 2
 
-    watching(check, listing(42), known=listing(41, target("s-1"), whole=True))
+    run_watch(check, listing(42), known=listing(41, target("s-1"), whole=True))
 
 
-def test_the_list_held_is_used_where_nobody_listens_at_discoverys_address() -> None:
+def test_known_list_is_valid_while_discovery_refuses_connections() -> None:
     async def case() -> None:
         known = listing(41, target("s-1"), whole=True)
         watch = Watch(("127.0.0.1", free_port()), NAMES, Limits(), known, lambda _: None)
@@ -200,84 +200,84 @@
 
 @pytest.mark.parametrize("answer", [None, (200, b"{")])
 @pytest.mark.parametrize("pushed", [False, True])
-def test_a_watch_that_breaks_is_opened_anew_at_once_where_lists_are_pushed(pushed: bool, answer: Any) -> None:
-    """There each moment without a watch counts; elsewhere a fleet must not come back all at once."""
-    async def check(watch: Watch, discovery: Discovery, told: list[api.WorkerList]) -> None:
+def test_broken_watch_is_reopened_at_once_where_lists_are_pushed(pushed: bool, answer: Any) -> None:
+    """Where lists are pushed, the lease soon ends with the watch; elsewhere a fleet's retries must spread."""
+    async def check(watch: Watch, discovery: Discovery, lists: list[api.WorkerList]) -> None:
         watch.subscribe()
         await until(lambda: len(discovery.calls) >= 3)
-        assert (discovery.at[2] - discovery.at[1] < 0.2) is pushed
+        assert (discovery.times[2] - discovery.times[1] < 0.2) is pushed
 
     known = listing(41, target("s-1"), whole=True)
-    watching(check, listing(42), answer, listing(42), known=known, pushed=pushed)
+    run_watch(check, listing(42), answer, listing(42), known=known, pushed=pushed)
 
 
-def test_other_names_are_followed_with_no_call_that_could_fail() -> None:
-    async def check(watch: Watch, discovery: Discovery, told: list[api.WorkerList]) -> None:
+def test_new_names_are_applied_without_a_call() -> None:
+    async def check(watch: Watch, discovery: Discovery, lists: list[api.WorkerList]) -> None:
         watch.subscribe()
-        await until(lambda: len(told) == 2)
+        await until(lambda: len(lists) == 2)
         watch.update_names(Names(("other",), (), ("b", "a"), ("m2",)))
-        assert [t.kind for t in told] == [api.ListKind.CACHED, api.ListKind.CHANGES, api.ListKind.FULL]
-        (kept,) = told[2].entries  # the other is gone
+        assert [t.kind for t in lists] == [api.ListKind.CACHED, api.ListKind.CHANGES, api.ListKind.FULL]
+        (kept,) = lists[2].entries  # the other one is removed
         assert (kept.worker, kept.zone, kept.kind, kept.phase) == (1, 0, 0, api.Phase.DRAINING)
         watch.update_names(Names(("third",), (), ("b", "a"), ("m2",)))
-        assert len(told) == 3  # neither zones nor kinds have changed
+        assert len(lists) == 3  # neither zones nor kinds have changed
         await asyncio.sleep(0.05)
         assert all("index=" in call for call in discovery.calls)
 
-    watching(check, listing(42, target("s-1", "draining"), target("s-2", "removed")),
+    run_watch(check, listing(42, target("s-1", "draining"), target("s-2", "removed")),
              known=listing(41, target("s-1"), target("s-2"), whole=True))
 
 
-def test_a_malformed_list_at_start_is_a_plain_error() -> None:
+def test_malformed_known_list_raises_config_error() -> None:
     with pytest.raises(ConfigError, match="known: malformed list"):
         Watch(("127.0.0.1", 1), NAMES, Limits(), {"rev": 1}, [].append)
 
 
-def test_a_move_keeps_the_list_until_the_new_address_has_told_its_own() -> None:
-    async def check(watch: Watch, first: Discovery, told: list[api.WorkerList]) -> None:
+def test_move_keeps_the_list_until_the_new_address_has_sent_one() -> None:
+    async def check(watch: Watch, first: Discovery, lists: list[api.WorkerList]) -> None:
         watch.subscribe()
         await until(lambda: first.calls)
-        second = Discovery()  # silent at first, as one that handles its calls in turn
+        second = Discovery()  # silent at first, as if the call were queued
         server = await asyncio.start_server(second.serve, "127.0.0.1", port := free_port())
         watch.move(("127.0.0.1", port))
         await until(lambda: second.calls)
-        first.tell(listing(42, target("s-1", "draining")))  # still told by the old address
-        await until(lambda: len(told) == 2)
-        first.writers[-1].close()  # as the old address does: no failure of the new one
+        first.respond(listing(42, target("s-1", "draining")))  # still answered by the old address
+        await until(lambda: len(lists) == 2)
+        first.writers[-1].close()  # the old address ends its watch: no failure of the new one
         await asyncio.sleep(0.05)
-        second.tell(listing(7, target("s-2"), whole=True))
+        second.respond(listing(7, target("s-2"), whole=True))
         await until(lambda: len(second.calls) == 2)
         assert second.calls[0] == "/discovery/hosts" and "index=7&wait=" in second.calls[1]
-        assert [(t.kind, [e.worker for e in t.entries]) for t in told] == [
+        assert [(t.kind, [e.worker for e in t.entries]) for t in lists] == [
             (api.ListKind.CACHED, [1]), (api.ListKind.CHANGES, [1]), (api.ListKind.FULL, [2])]
         second.writers[-1].close()
-        await until(lambda: len(second.calls) == 3)  # a failure of the present address: it is asked again
-        assert "index=7&" in second.calls[2] and len(told) == 3
+        await until(lambda: len(second.calls) == 3)  # a failure of the present address: the call is retried
+        assert "index=7&" in second.calls[2] and len(lists) == 3
         server.close()
 
-    watching(check, known=listing(41, target("s-1"), whole=True))
+    run_watch(check, known=listing(41, target("s-1"), whole=True))
 
 
-def test_a_former_address_that_answers_with_the_new_one_is_not_heard_after_it() -> None:
-    """Both answers lie there when the loop looks: the older list must not come after the newer."""
-    async def check(watch: Watch, first: Discovery, told: list[api.WorkerList]) -> None:
+def test_simultaneous_answer_of_the_previous_address_is_ignored() -> None:
+    """Both answers arrive in one turn of the event loop: the older list must not replace the newer."""
+    async def check(watch: Watch, first: Discovery, lists: list[api.WorkerList]) -> None:
         watch.subscribe()
         await until(lambda: first.calls)
         second = Discovery()
         server = await asyncio.start_server(second.serve, "127.0.0.1", port := free_port())
         watch.move(("127.0.0.1", port))
         await until(lambda: second.calls)
-        second.tell(listing(7, target("s-1", "draining"), whole=True))
-        first.tell(listing(42, target("s-1")))
+        second.respond(listing(7, target("s-1", "draining"), whole=True))
+        first.respond(listing(42, target("s-1")))
         await until(lambda: len(second.calls) == 2)
-        assert told[-1].entries[0].phase is api.Phase.DRAINING
+        assert lists[-1].entries[0].phase is api.Phase.DRAINING
         server.close()
 
-    watching(check, known=listing(41, target("s-1"), whole=True))
+    run_watch(check, known=listing(41, target("s-1"), whole=True))
 
 
-def test_a_second_move_leaves_an_address_that_never_answered() -> None:
-    async def check(watch: Watch, first: Discovery, told: list[api.WorkerList]) -> None:
+def test_second_move_drops_an_address_that_never_answered() -> None:
+    async def check(watch: Watch, first: Discovery, lists: list[api.WorkerList]) -> None:
         watch.subscribe()
         await until(lambda: first.calls)
         silent = Discovery()
@@ -285,11 +285,11 @@
         watch.move(("127.0.0.1", port))
         await until(lambda: silent.calls)
         watch.move(("127.0.0.1", free_port()))  # nothing listens there
-        first.tell(listing(5, target("s-1"), whole=True))
-        await until(lambda: told)  # the last address that has answered counts meanwhile
-        silent.tell(listing(6, target("s-2"), whole=True))
+        first.respond(listing(5, target("s-1"), whole=True))
+        await until(lambda: lists)  # the last address that has answered is still followed
+        silent.respond(listing(6, target("s-2"), whole=True))
         await asyncio.sleep(0.05)
-        assert len(told) == 1
+        assert len(lists) == 1
         server.close()
 
-    watching(check)
+    run_watch(check)
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -135,7 +135,7 @@
             async with program(tmp_path, port, worker, discovery=address, settings=settings):
                 await until(lambda: len(discovery.calls) > 1)
                 drained = [target | {"state": "draining"} for target in known["targets"]]
-                discovery.tell({"rev": 3, "all": False, "targets": drained})
+                discovery.respond({"rev": 3, "all": False, "targets": drained})
                 await until(lambda: len(discovery.calls) > 2)
                 status, headers, _ = await http_post(port, "/post-payment", b"a", HEADERS.format("1"))
                 assert status == 429 and float(headers["retry-after"]) > 0 and not count
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -1,4 +1,4 @@
-"""The worker transport against a stand-in worker: each outcome as the protocol's table has it, once."""
+"""The worker transport against a stand-in worker: outcomes, cancellation, the pool and late answers."""
 
 import asyncio
 from collections import Counter
@@ -28,18 +28,18 @@
            b"202": None, b"": Outcome.RESET}
 
 
-CLOCK = Clock()  # one for both sides, as in the program: two differ by a pause between their readings
+CLOCK = Clock()  # shared by both sides, as in the program: two clocks would differ slightly
 
 
-class Core:
-    """Stands in for the scheduler."""
+class SchedulerStub:
+    """Stands in for the scheduler and records what attempts report to it."""
 
     def __init__(self) -> None:
         self.open, self.ended, self.began = True, list[tuple[Outcome | None, bytes]](), 0
-        self.written, self.wanted = 0, True
+        self.written, self.needed = 0, True
 
     def may_begin(self, _: Attempt) -> bool:
-        return self.open and self.wanted
+        return self.open and self.needed
 
     def attempt_written(self) -> None:
         self.written += 1
@@ -59,7 +59,7 @@
         return Attempt(self, 1, number, 1, job, now, now + timedelta(seconds=5))  # type: ignore[arg-type]
 
 
-class One:
+class OneWorkerDirectory:
     """A directory of one worker."""
 
     def __init__(self, port: int) -> None:
@@ -79,24 +79,24 @@
 
 
 def transport(port: int, **limits: Any) -> HttpWorkers:
-    return HttpWorkers(One(port), Limits(**limits), CLOCK)
+    return HttpWorkers(OneWorkerDirectory(port), Limits(**limits), CLOCK)
 
 
 @STEADY
 @given(st.sampled_from(sorted(ANSWERS)),
        st.lists(st.sampled_from(["started", "running", *STATES]), max_size=3), st.booleans(), st.booleans())
-def test_the_first_word_on_an_attempts_fate_counts_and_only_that(
-    answer: bytes, states: list[str], early: bool, other: bool,
+def test_first_final_report_ends_the_attempt_once(
+    answer: bytes, states: list[str], callbacks_first: bool, other: bool,
 ) -> None:
     async def case() -> None:
-        core, go = Core(), asyncio.Event()
+        core, may_answer = SchedulerStub(), asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             first, headers, body = await http_message(reader)
             assert first == "POST /post-payment?a=b HTTP/1.1"
             assert (headers["x-trace-id"], body) == ("77", b"body")
             assert 4_000_000 < int(headers["x-expires-in"][:-1]) <= 5_000_000
-            await go.wait()
+            await may_answer.wait()
             if answer:
                 writer.write(b"HTTP/1.1 %s X" % answer[:3] + answer[3:] + b"\r\nContent-Length: 0\r\n\r\n")
             writer.close()
@@ -109,24 +109,24 @@
             for state in states:
                 workers.call_back("77", "s-2" if other else "s-1", state, "r" if state == "done" else 0.5)
 
-        if early:
+        if callbacks_first:
             call_back()
-        go.set()
+        may_answer.set()
         await until(lambda: attempt not in workers.tasks)
-        if not early:
+        if not callbacks_first:
             call_back()
-        told = [] if other else [STATES[s] for s in states if s in STATES]
-        said = [ANSWERS[answer]] if ANSWERS[answer] else []
-        order = [*told, *said] if early else [*said, *told]
+        from_callbacks = [] if other else [STATES[s] for s in states if s in STATES]
+        from_answer = [ANSWERS[answer]] if ANSWERS[answer] else []
+        order = [*from_callbacks, *from_answer] if callbacks_first else [*from_answer, *from_callbacks]
         assert core.ended == [(o, b"r" if o is Outcome.SERVED else b"") for o in order[:1]]
         server.close()
 
     run(case())
 
 
-def test_a_worker_is_blamed_for_rejecting_jobs_only_if_it_rejects_the_next_one_too() -> None:
+def test_worker_is_blamed_from_the_second_rejection_in_a_row() -> None:
     async def case() -> None:
-        core, worker = Core(), HttpWorker("s-1", Counter(), lambda: 0)
+        core, worker = SchedulerStub(), HttpWorker("s-1", Counter(), lambda: 0)
         worker.states = []
         accepted = worker.reply
         async with worker.serving():
@@ -141,18 +141,18 @@
     run(case())
 
 
-def test_what_is_never_sent_never_ran() -> None:
+def test_attempt_that_is_not_sent_never_ran() -> None:
     async def case() -> None:
-        core, sent = Core(), Counter[bytes]()
+        core, sent = SchedulerStub(), Counter[bytes]()
         workers = transport(1)  # nothing listens there
         workers.send(core.attempt())
         await until(lambda: core.ended)
         async with HttpWorker("s-1", sent, lambda: 0).serving() as worker:
-            core.open = False  # told to drain while its connection was being opened
+            core.open = False  # the worker drains while the connection is opened
             workers = transport(worker.port)
             workers.send(core.attempt())
             await until(lambda: len(core.ended) == 2)
-            core.open, core.wanted = True, False  # another copy was served meanwhile, or the client has left
+            core.open, core.needed = True, False  # another copy was served meanwhile, or the client has left
             workers.send(core.attempt())
             await until(lambda: len(core.ended) == 3)
         assert [o for o, _ in core.ended] == [Outcome.CONNECT_FAILED, Outcome.MOOT, Outcome.MOOT] and not sent
@@ -160,21 +160,21 @@
     run(case())
 
 
-def test_nothing_is_sent_to_a_former_endpoint_once_its_server_is_listed_at_another(
+def test_nothing_is_sent_to_a_workers_previous_endpoint(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """It was removed and listed again while the connection came up; somebody else may listen there now."""
+    """The worker moved while the connection was opened; another server may listen at its old address now."""
     connect = streams.connect
 
-    async def late(*given: Any) -> Any:
+    async def connect_late(*given: Any) -> Any:
         await asyncio.sleep(0.05)
         return await connect(*given)
 
     async def case() -> None:
-        monkeypatch.setattr(streams, "connect", late)
-        core, sent = Core(), Counter[bytes]()
+        monkeypatch.setattr(streams, "connect", connect_late)
+        core, sent = SchedulerStub(), Counter[bytes]()
         async with HttpWorker("s-1", sent, lambda: 0).serving() as worker:
-            directory = One(worker.port)
+            directory = OneWorkerDirectory(worker.port)
             workers = HttpWorkers(directory, Limits(), CLOCK)
             workers.send(core.attempt())
             directory.port = 1
@@ -185,13 +185,13 @@
 
 
 @pytest.mark.parametrize("window", [100, 2000])
-def test_a_guarded_repeat_is_not_written_past_its_window(
+def test_guarded_retry_is_not_written_past_its_window(
     window: int, monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """The settings name a connect of 1 ms, and the connection for the repeat comes up after 200."""
+    """The settings expect connects of 1 ms, but the connection for the retry takes 200 ms."""
     connect, postings = streams.connect, Counter[str]()
 
-    async def late(*given: Any) -> Any:
+    async def connect_late(*given: Any) -> Any:
         await asyncio.sleep(0.2 if postings else 0)
         return await connect(*given)
 
@@ -199,17 +199,17 @@
         with suppress(asyncio.IncompleteReadError, ConnectionError):
             _, headers, _ = await http_message(reader)
             postings[headers["x-trace-id"]] += 1
-            await asyncio.sleep(0.05)  # not at once: a job that kills its workers goes nowhere else
+            await asyncio.sleep(0.05)  # an abort at once would not be retried: the job might kill workers
             writer.transport.abort()  # it may have run
 
     async def case() -> None:
-        monkeypatch.setattr(streams, "connect", late)
+        monkeypatch.setattr(streams, "connect", connect_late)
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         guarded = api.JobClass(50_000, 5_000_000, api.Effect.KEYED, "all", window * 1000, late_worth=0.5)
         site = api.Settings(classes=(guarded,), tick_us=1000, max_attempts=2, connect_timeout_us=1000,
                             reports=False, tells_start=True)
         scheduler = Scheduler(site, 7, Limits(), Clock(), IOLoop.current())
-        directory = One(server.sockets[0].getsockname()[1])
+        directory = OneWorkerDirectory(server.sockets[0].getsockname()[1])
         scheduler.connect(HttpWorkers(directory, Limits(), Clock()), directory)  # type: ignore[arg-type]
         scheduler.listed(api.WorkerList(api.ListKind.FULL, tuple(api.WorkerEntry(w) for w in (1, 2, 3))))
         reply = Answers()
@@ -221,9 +221,9 @@
     run(case())
 
 
-def test_a_worker_that_handed_a_job_back_by_call_back_does_not_get_it_again() -> None:
+def test_job_returned_by_call_back_is_not_sent_there_again() -> None:
     async def case() -> None:
-        core, sent = Core(), Counter[bytes]()
+        core, sent = SchedulerStub(), Counter[bytes]()
         worker = HttpWorker("s-1", sent, lambda: 0)
         worker.states = []
         async with worker.serving():
@@ -232,16 +232,16 @@
             await until(lambda: sent)
             workers.call_back("77", "s-1", "returned", None)
             workers.send(core.attempt(1))
-            workers.call_back("77", "s-1", "returned", None)  # a repeat; it would pass for the second's end
+            workers.call_back("77", "s-1", "returned", None)  # a repeat: must not end the second attempt
             assert [o for o, _ in core.ended] == [Outcome.FULL, Outcome.MOOT] and sent[b"body"] == 1
 
     run(case())
 
 
-@pytest.mark.parametrize("heard", [True, False])
-def test_a_worker_that_says_nothing_at_all_is_not_waited_for_up_to_the_deadline(heard: bool) -> None:
+@pytest.mark.parametrize("has_callback", [True, False])
+def test_silent_worker_is_given_up_before_the_deadline(has_callback: bool) -> None:
     async def case() -> None:
-        core, got, ended = Core(), list[str](), asyncio.Event()
+        core, got, ended = SchedulerStub(), list[str](), asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             got.append((await http_message(reader))[0])
@@ -252,23 +252,23 @@
         workers = transport(server.sockets[0].getsockname()[1], accept=timedelta(seconds=0.1))
         workers.send(core.attempt())
         await until(lambda: got)
-        if heard:
+        if has_callback:
             workers.call_back("77", "s-1", "started", None)
             await asyncio.sleep(0.3)
-            assert not core.ended and not ended.is_set()  # to close would stop a job that runs
+            assert not core.ended and not ended.is_set()  # closing would stop a running job
             workers.call_back("77", "s-1", "done", "r")
         else:
             await ended.wait()
-        assert [o for o, _ in core.ended] == [Outcome.SERVED if heard else Outcome.TIMED_OUT]
+        assert [o for o, _ in core.ended] == [Outcome.SERVED if has_callback else Outcome.TIMED_OUT]
         server.close()
 
     run(case())
 
 
 @pytest.mark.parametrize("accepted", [True, False])
-def test_giving_up_closes_before_the_202_and_deletes_after(accepted: bool) -> None:
+def test_cancel_closes_before_the_202_and_deletes_after_it(accepted: bool) -> None:
     async def case() -> None:
-        core, got, ended = Core(), list[str](), asyncio.Event()
+        core, got, ended = SchedulerStub(), list[str](), asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
@@ -295,7 +295,7 @@
     run(case())
 
 
-def test_a_connection_is_reused_unless_it_was_closed_idled_or_released() -> None:
+def test_pool_reuses_connections_until_closed_idle_or_released() -> None:
     async def case() -> None:
         opened = list[asyncio.StreamWriter]()
 
@@ -331,8 +331,8 @@
     run(case())
 
 
-class Twice:
-    """A worker that answers each of its first requests as told, and again a little later."""
+class AnswersTwice:
+    """A worker that answers its first request with ``status`` and later ones with 202."""
 
     def __init__(self, status: bytes, *, again: bool = True) -> None:
         self.status, self.again, self.got = status, again, list[str]()
@@ -344,7 +344,7 @@
             while True:
                 _, headers, _ = await http_message(reader)
                 self.got.append(headers["x-trace-id"])
-                await asyncio.sleep(0.02)  # the answer is waited for: the stream goes on listening
+                await asyncio.sleep(0.02)  # the client is already reading when the answer arrives
                 writer.write(ACCEPTED if len(self.got) > 1 else self.answer)
         except (asyncio.IncompleteReadError, ConnectionError):
             pass
@@ -355,16 +355,16 @@
 
 
 @pytest.mark.parametrize("swept", [False, True])
-def test_a_second_answer_that_comes_while_a_connection_rests_is_not_the_next_ones(swept: bool) -> None:
-    """The stream has read it of itself, so that the socket shows nothing."""
+def test_second_answer_on_an_idle_connection_is_not_taken_for_the_next(swept: bool) -> None:
+    """The stream has already read the second answer, so that peeking at the socket finds nothing."""
     async def case() -> None:
-        core, worker = Core(), Twice(b"202")
+        core, worker = SchedulerStub(), AnswersTwice(b"202")
         server = await asyncio.start_server(worker.serve, "127.0.0.1", 0)
         workers = transport(server.sockets[0].getsockname()[1])
         workers.send(first := core.attempt())
         await until(lambda: first not in workers.tasks)
         worker.writers[0].write(b"HTTP/1.1 503 X\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n")
-        await asyncio.sleep(0.05)  # the loop has seen it
+        await asyncio.sleep(0.05)  # the event loop has read it
         if swept:
             workers.pool.sweep()
             assert not workers.pool.count()
@@ -377,10 +377,10 @@
 
 
 @pytest.mark.parametrize("status", [b"503", b"500", b"404"])
-def test_an_answer_that_a_late_copy_could_repeat_for_the_next_job_ends_its_connection(status: bytes) -> None:
-    """The copy comes when the next job would have been written: nothing tells the two apart then."""
+def test_error_answers_close_the_connection_against_late_copies(status: bytes) -> None:
+    """A late copy that arrives after the next job was written could not be told from that job's answer."""
     async def case() -> None:
-        core, worker = Core(), Twice(status + b" Full\r\nX-Never-Ran: 1\r\nX:")
+        core, worker = SchedulerStub(), AnswersTwice(status + b" Full\r\nX-Never-Ran: 1\r\nX:")
         server = await asyncio.start_server(worker.serve, "127.0.0.1", 0)
         workers = transport(server.sockets[0].getsockname()[1])
         workers.send(first := core.attempt())
@@ -396,17 +396,17 @@
     run(case())
 
 
-def test_an_attempt_given_up_as_its_202_arrives_is_deleted() -> None:
-    """To close its connection gives it up only before the 202; this one lies read in the stream."""
+def test_attempt_cancelled_as_its_202_arrives_is_deleted() -> None:
+    """Closing the connection cancels it only before the 202, which the stream has already read here."""
     async def case() -> None:
-        core, got, loop = Core(), list[str](), asyncio.get_running_loop()
-        go = asyncio.Event()
+        core, got, loop = SchedulerStub(), list[str](), asyncio.get_running_loop()
+        may_answer = asyncio.Event()
 
         async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             try:
                 while True:
                     got.append((await http_message(reader))[0])
-                    await go.wait()
+                    await may_answer.wait()
                     writer.write(ACCEPTED)
             except (asyncio.IncompleteReadError, ConnectionError):
                 pass
@@ -428,7 +428,7 @@
                 loop.call_soon(look)
 
         look()
-        go.set()
+        may_answer.set()
         await until(lambda: got[1:])
         assert answered == [True] and got[1] == "DELETE /jobs/77 HTTP/1.1"
         server.close()
@@ -436,7 +436,7 @@
     run(case())
 
 
-def test_probes_tell_live_workers_from_the_others() -> None:
+def test_probe_outcomes() -> None:
     async def case() -> None:
         got: list[Outcome] = []
         async with HttpWorker("s-1", Counter(), lambda: 0).serving() as worker:
