--- a/hazellead/net/server.py
+++ b/hazellead/net/server.py
@@ -68,7 +68,7 @@
         self.from_worker = False  # the last request was a worker's call-back
         self.buffered_bytes = 0  # of a request that is not complete
         self._discarded_bytes = 0  # read while the parser's buffer was full
-        self.closing = self._ended = False
+        self.closing = self._ended = False  # closed after the answer; closed now, nothing more is read
         self.state: State | None = None
         self.enter(State.NEW)
 
--- a/hazellead/platform/config.py
+++ b/hazellead/platform/config.py
@@ -142,7 +142,7 @@
 
 
 def require_positive(nested: dict[str, Any]) -> None:
-    """Raise ConfigError for deadlines and attempts that are no numbers above 0.
+    """Raise ConfigError for deadlines and attempts that are not numbers above 0.
 
     Checked before the settings are flattened: then a text could not be told from a number.
     """
--- a/hazellead/platform/workers.py
+++ b/hazellead/platform/workers.py
@@ -88,7 +88,7 @@
         self._open.add(connection)
         if not connection.quiet:
             connection.close()
-            raise StreamClosedError(OSError("closed, or spoken on, before anything was asked"))
+            raise StreamClosedError(OSError("closed, or data received, before any request was sent"))
         return connection
 
     def _usable(self, endpoint: WorkerEndpoint, connection: ClientConnection, since: datetime) -> bool:
@@ -124,7 +124,7 @@
         """Return the number of idle connections to a worker."""
         return len(self._idle.get(endpoint, ()))
 
-    def release(self, endpoint: WorkerEndpoint) -> None:
+    def close_idle(self, endpoint: WorkerEndpoint) -> None:
         """Close the idle connections to a worker."""
         for connection, _ in self._idle.pop(endpoint, []):
             connection.close()
@@ -153,7 +153,7 @@
     def close_all_idle(self) -> None:
         """Close every idle connection."""
         for endpoint in list(self._idle):
-            self.release(endpoint)
+            self.close_idle(endpoint)
 
     def count(self) -> int:
         """Return the number of connections that are open or being opened."""
@@ -164,9 +164,9 @@
 class HttpWorkers:
     """The worker transport for the platform's HTTP protocol."""
 
-    def __init__(self, places: EndpointDirectory, limits: Limits, clock: Clock) -> None:
+    def __init__(self, directory: EndpointDirectory, limits: Limits, clock: Clock) -> None:
         """Reach workers at the addresses that the directory returns."""
-        self._directory, self._limits, self._clock = places, limits, clock
+        self._directory, self._limits, self._clock = directory, limits, clock
         self.pool = Pool(limits, clock)
         self._attempts: dict[tuple[str, str], Attempt] = {}  # by job's id and worker's uid
         self.tasks: dict[Attempt, asyncio.Task[None]] = {}  # attempts whose 202 is still awaited
@@ -237,7 +237,7 @@
     def release(self, worker: int) -> None:
         """Close the idle connections to a worker."""
         if endpoint := self._directory.endpoint(worker):
-            self.pool.release(endpoint)
+            self.pool.close_idle(endpoint)
 
     def awaits(self, identity: str, sender: str) -> bool:
         """Return whether an attempt for this job on this worker has been sent and has not ended."""
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -316,7 +316,7 @@
         opened[0].close()
         await until(lambda: (pool.sweep(), not pool.idle_count(endpoint))[1])
         await use(2)
-        pool.release(endpoint)
+        pool.close_idle(endpoint)
         await use(3)
         stream = await pool.acquire(endpoint)
         with pytest.raises(OSError):
