--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -97,8 +97,8 @@
         assert endpoint and (endpoint.uid, endpoint.host, endpoint.port) == ("s-2", "127.0.0.1", 81)
 
     run_watch(check, listing(42, target("s-1", "draining", boot_ms=7)),
-             listing(50, target("s-2", endpoint="127.0.0.1:81"), target("s-1"), whole=True),
-             known=listing(41, target("s-1"), whole=True))
+              listing(50, target("s-2", endpoint="127.0.0.1:81"), target("s-1"), whole=True),
+              known=listing(41, target("s-1"), whole=True))
 
 
 @pytest.mark.parametrize("answer", [None, (503, b"")])
@@ -114,7 +114,7 @@
         assert all(0.2 < p < 1.1 for p in (*pauses[:2], pauses[3])) and max(pauses[2], pauses[4]) < 0.2
 
     run_watch(check, answer, answer, listing(9, target("s-1"), whole=True), answer,
-             listing(9), seconds=30)
+              listing(9), seconds=30)
 
 
 def test_fetch_returns_the_whole_list_or_reports_a_failure() -> None:
@@ -225,7 +225,7 @@
         assert all("index=" in call for call in discovery.calls)
 
     run_watch(check, listing(42, target("s-1", "draining"), target("s-2", "removed")),
-             known=listing(41, target("s-1"), target("s-2"), whole=True))
+              known=listing(41, target("s-1"), target("s-2"), whole=True))
 
 
 def test_malformed_known_list_raises_config_error() -> None:
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -32,8 +32,8 @@
 
     async def start_server(self) -> None:
         def handle(exchange: Exchange) -> None:
-            assert exchange.message.body == b"%d" % self.asked, "out of order"
-            self.asked += 1
+            assert exchange.message.body == b"%d" % self.handled, "out of order"
+            self.handled += 1
             self.exchanges.append(exchange)
             exchange.on_disconnect = self.client_disconnected
 
@@ -43,7 +43,7 @@
 
     def connect(self) -> None:
         self.sent, self.unsent = 0, b""  # complete requests written; rest of the one being written
-        self.asked = self.answered = self.disconnects = 0
+        self.handled = self.answered = self.disconnects = 0
         self.exchanges: list[Exchange] = []
         self.reader, self.writer = self.runner.run(asyncio.open_connection("127.0.0.1", self.port))
 
@@ -53,7 +53,7 @@
     def settle(self) -> None:
         """Wait for the number of handled requests that the model expects: one at a time is processed."""
         self.runner.run(asyncio.wait_for(until(
-            lambda: self.asked == min(self.sent, self.answered + 1)), 10))
+            lambda: self.handled == min(self.sent, self.answered + 1)), 10))
 
     @rule(part=st.integers(1, 99))
     def write(self, part: int) -> None:
@@ -64,7 +64,7 @@
         self.writer.write(now)
         self.settle()
 
-    @precondition(lambda self: self.asked > self.answered)
+    @precondition(lambda self: self.handled > self.answered)
     @rule(answer_twice=st.booleans())
     def answer(self, answer_twice: bool) -> None:
         exchange = self.exchanges[-1]
@@ -82,7 +82,7 @@
             self.writer.transport.abort()
         self.writer.close()
         self.runner.run(asyncio.wait_for(until(lambda: not self.server.connections), 10))
-        assert self.disconnects == (self.asked > self.answered), "the disconnect must be reported once"
+        assert self.disconnects == (self.handled > self.answered), "the disconnect must be reported once"
         self.connect()
 
     def teardown(self) -> None:
