--- a/tests/broken_scheduler.py
+++ b/tests/broken_scheduler.py
@@ -91,9 +91,9 @@
     """Write each attempt a second time, whatever became of the first."""
     before = workers.HttpWorkers._deliver
 
-    async def carry(self: workers.HttpWorkers, attempt: Attempt, place: workers.WorkerEndpoint) -> None:
-        again = asyncio.ensure_future(before(self, attempt, place))
-        await before(self, attempt, place)
+    async def carry(self: workers.HttpWorkers, attempt: Attempt, endpoint: workers.WorkerEndpoint) -> None:
+        again = asyncio.ensure_future(before(self, attempt, endpoint))
+        await before(self, attempt, endpoint)
         await again
 
     workers.HttpWorkers._deliver = carry  # type: ignore[method-assign]
