--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -10,7 +10,7 @@
 from datetime import timedelta
 from typing import Any
 
-from discovery_model import Audience, Change, Network, Registry, Service, target
+from discovery_model import Change, Network, Observer, Registry, Service, target
 from virtual_loop import Timers, VirtualClock
 
 from hazellead.core.scheduler import Scheduler
@@ -42,7 +42,7 @@
     moved: list[float] = field(default_factory=list)  # new settings, until the new address has told its list
 
 
-class Process(Audience):
+class Process(Observer):
     """One scheduler with its watch; ``restart`` begins it anew from the list it held."""
 
     def __init__(self, fleet: "Fleet", number: int) -> None:
@@ -70,7 +70,7 @@
 
     def kill(self) -> None:
         """End it, and keep the list that it held."""
-        self.known = self.watch.told(self.scheduler.workers)
+        self.known = self.watch.to_json(self.scheduler.workers)
         self.watch.close()
         self.alive = False
 
@@ -84,7 +84,7 @@
     def would_send(self, uid: str) -> bool:
         """Say whether a request could be sent to a server now."""
         number = self.watch.number(uid)
-        return number is not None and self.watch.place(number) is not None and (
+        return number is not None and self.watch.endpoint(number) is not None and (
             self.scheduler.may_send_to(number))
 
     # What discovery tells it, as the referee counts.
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -135,7 +135,7 @@
             async with program(tmp_path, port, worker, discovery=address, settings=settings):
                 await until(lambda: len(discovery.calls) > 1)
                 drained = [target | {"state": "draining"} for target in known["targets"]]
-                discovery.tell({"rev": 3, "all": False, "targets": drained})
+                discovery.respond({"rev": 3, "all": False, "targets": drained})
                 await until(lambda: len(discovery.calls) > 2)
                 status, headers, _ = await http_post(port, "/post-payment", b"a", HEADERS.format("1"))
                 assert status == 429 and float(headers["retry-after"]) > 0 and not count
@@ -539,10 +539,10 @@
 
 
 @pytest.mark.parametrize(("change", "words"), [
-    ({"listen": "nowhere"}, "listen is no address"), ({"settings": None}, "settings are missing"),
+    ({"listen": "nowhere"}, "listen is not an address"), ({"settings": None}, "settings are missing"),
     ({"seed": "x"}, "seed a hexadecimal"), ({"known": {"rev": 1}}, "known: malformed"),
     ({"settings": {**SETTINGS, "tickUs": "x"}}, "bad setting: tickUs"), ({"limits": [1]}, "objects"),
-    ({"console": "127.0.0.1"}, "console is no address"),
+    ({"console": "127.0.0.1"}, "console is not an address"),
     ({"settings": {**SETTINGS, "caps": {}}}, "missing setting: caps.maxAttempts"),
     ({"listen": f"127.0.0.1:{TAKEN[1]}"}, "cannot listen"), (b"{", "not JSON"), (b"[]", "not an object")])
 def test_a_bad_configuration_is_one_plain_line(tmp_path: Path, change: Any, words: str) -> None:
