--- a/hazellead/__main__.py
+++ b/hazellead/__main__.py
@@ -97,7 +97,7 @@
             if given.discovery is None:
                 raise config.ConfigError("discovery is missing")
             self.watch = Watch(
-                given.discovery, given.names, given.limits, given.known, self.scheduler.listed, given.seed,
+                given.discovery, given.names, given.limits, given.known, self.scheduler.on_list, given.seed,
                 pushed=not given.settings.must_ask, known_elsewhere=given.known_elsewhere, clock=clock)
             self.workers = HttpWorkers(self.watch, given.limits, clock)
             self.scheduler.connect(self.workers, self.watch)
@@ -123,7 +123,7 @@
             listen(self.gearman.server, operators.gearman.listen, self.limits.backlog)
         self.sweeper = PeriodicCallback(self.workers.pool.sweep, self.limits.sweep)
         self.sweeper.start()
-        self.drainer = PeriodicCallback(self._end_idle, self.limits.drain_look)
+        self.drainer = PeriodicCallback(self._end_idle, self.limits.drain_poll)
         if operators and operators.peers:
             from hazellead.peers.assembly import assemble
 
@@ -162,12 +162,12 @@
     def stats(self) -> str:
         """Return the figures."""
         listed, avoided = self.scheduler.listed_workers
-        return self.figures.text(Gauges(self.scheduler.held, listed, avoided))
+        return self.figures.text(Gauges(self.scheduler.unanswered, listed, avoided))
 
     def quiesce(self) -> bool:
         """Empty the scheduler; say whether that is what it now does."""
         if self.life.quiesce(self.clock.now()):
-            log.info("quiesced", held=self.scheduler.held)
+            log.info("quiesced", held=self.scheduler.unanswered)
             self.drainer.start()
         return self.life.phase is Phase.QUIESCED
 
@@ -218,18 +218,18 @@
     def _following(self, given: config.Config) -> Generation:
         """Return the generation that its settings would be; raises ConfigError."""
         try:
-            return self.scheduler.following(given.settings, given.names.classes, given.names.tenants)
+            return self.scheduler.next_generation(given.settings, given.names.classes, given.names.tenants)
         except ValueError as error:
             raise config.ConfigError(f"settings: {error}") from None
 
     def _retune(self, generation: Generation, given: config.Config) -> None:
         """Bring settings in force: for the module and the fronts in one step, and for jobs from now on."""
-        self.scheduler.retune(generation)
+        self.scheduler.apply_generation(generation)
         self.front.names = given.names
         self.figures.serve(given.names.classes)
         if self.watch:
             self.watch.rename(given.names)
-        self.limits = self.limits.paced_as(given.limits)
+        self.limits = self.limits.with_settings_times(given.limits)
         self.life.repace(self.limits)
         self.workers.repace(self.limits)
         if self.watch:
@@ -245,18 +245,18 @@
         Clients keep the connections that they have for as long as these stay open, and a front sends no new
         ones to a scheduler that is ending: to close early would leave them nowhere to go.
         """
-        log.info("stopping", held=self.scheduler.held)
+        log.info("stopping", held=self.scheduler.unanswered)
         now = self.clock.now()
         self.life.end(now)
-        self.scheduler.end_by(now + self.limits.answer_by)
+        self.scheduler.end_by(now + self.limits.shutdown_answer)
         self.drainer.start()
-        by = now + self.limits.answer_by
+        by = now + self.limits.shutdown_answer
         if self.handover:
             self.handover.end_by(by)
         while self.life.succeeded and self.server.connections and self.clock.now() < by:
             await asyncio.sleep(self.limits.drain_pause.total_seconds())  # they are answered, then passed on
         while not self.life.succeeded and self.takes_jobs():
-            await asyncio.sleep(self.limits.drain_look.total_seconds())
+            await asyncio.sleep(self.limits.drain_poll.total_seconds())
         self.server.close_idle()
         # The listeners stay open meanwhile: call-backs and Gearman workers' reports arrive there.
         empty = asyncio.Event()
--- a/hazellead/core/clock.py
+++ b/hazellead/core/clock.py
@@ -1,4 +1,4 @@
-"""The program's clock, and the one place where times turn into the module's whole microseconds."""
+"""The program's clock, and conversions between times and the decision module's whole microseconds."""
 
 import time
 from datetime import UTC, datetime, timedelta
@@ -8,26 +8,26 @@
 
 
 def to_us(span: timedelta) -> int:
-    """Turn a span into whole microseconds."""
+    """Convert a duration to whole microseconds, rounded down."""
     return span // _US
 
 
-def span(us: float) -> timedelta:
-    """Turn the module's microseconds into a span."""
+def from_us(us: float) -> timedelta:
+    """Convert microseconds to a duration."""
     return timedelta(microseconds=us)
 
 
 class Clock:
-    """Wall time that never runs backwards: read once, then carried by the monotonic clock."""
+    """Wall time that never runs backwards: read once at start, then advanced by the monotonic clock."""
 
     def __init__(self) -> None:
-        """Read both clocks."""
-        self._wall, self._from = datetime.now(UTC), time.monotonic()
+        """Read the wall clock and the monotonic clock."""
+        self._wall_start, self._monotonic_start = datetime.now(UTC), time.monotonic()
 
     def now(self) -> datetime:
-        """Return the present time."""
-        return self._wall + timedelta(seconds=time.monotonic() - self._from)
+        """Return the current time."""
+        return self._wall_start + timedelta(seconds=time.monotonic() - self._monotonic_start)
 
     def now_us(self) -> int:
-        """Return the present time as the module counts it."""
+        """Return the current time in microseconds since the epoch."""
         return to_us(self.now() - EPOCH)
--- a/hazellead/core/generations.py
+++ b/hazellead/core/generations.py
@@ -1,7 +1,7 @@
-"""Settings as numbered generations: what each class and tenant of them is to the decisions. Pure.
+"""Generations of settings: the numbers of classes and tenants across reloads. Does no I/O.
 
-The decisions know classes and tenants by number. A number keeps its meaning while a job of it is open, so
-that each job keeps the rules it came under to its end.
+The dispatcher knows classes and tenants by number. A number keeps its meaning while a job of that class or
+tenant is open, so that each job keeps the rules under which it was submitted.
 """
 
 from collections.abc import Collection, Sequence
@@ -9,41 +9,44 @@
 
 from hazellead.decide import interface as api
 
-MOST = 256  # classes and tenants that may be numbered, those that went included
-GONE = 1e-9  # the portion of a tenant that is in the settings no more: 0 would mean an equal one
+MAX_NUMBERS = 256  # of classes, and of tenants, removed ones included
+GONE_PORTION = 1e-9  # of a tenant that was removed from the settings; 0 would mean an equal portion
 
 
 class TooManyError(ValueError):
-    """More classes or tenants have come and gone than are kept apart."""
+    """Open jobs and removed tenants need more than MAX_NUMBERS numbers."""
 
 
 @dataclass(slots=True, frozen=True)
 class Generation:
-    """Settings in force. ``settings`` hold what open jobs of earlier ones need, too."""
+    """Settings in force, with the classes and tenants that open jobs of earlier settings still need."""
 
     number: int
     settings: api.Settings
-    rows: tuple[tuple[str, api.JobClass], ...]  # name and rules by the class's number
-    tenant_rows: tuple[tuple[str, api.Tenant], ...]
-    classes: tuple[int, ...]  # the numbers of the classes as the settings list them
-    tenants: tuple[int, ...]
-    fresh: frozenset[int] = frozenset()  # classes whose number meant another before, or nothing
+    class_rows: tuple[tuple[str, api.JobClass], ...]  # name and rules by class number
+    tenant_rows: tuple[tuple[str, api.Tenant], ...]  # name and rules by tenant number
+    class_ids: tuple[int, ...]  # class numbers, in the order of the settings
+    tenant_ids: tuple[int, ...]
+    fresh: frozenset[int] = frozenset()  # class numbers that are new or now mean another class
 
 
-def first(settings: api.Settings, classes: Sequence[str] = (), tenants: Sequence[str] = ()) -> Generation:
-    """Number what a start's settings list, in their order."""
+def initial(settings: api.Settings, classes: Sequence[str] = (), tenants: Sequence[str] = ()) -> Generation:
+    """Return the first generation: classes and tenants numbered in the order of the settings."""
     rows = _rows(settings, classes)
     tenant_rows = _tenant_rows(settings, tenants)
     return Generation(1, _merged(settings, rows, tenant_rows), tuple(rows), tuple(tenant_rows),
                       tuple(range(len(rows))), tuple(range(len(tenant_rows))))
 
 
-def follow(
-    held: Generation, settings: api.Settings, classes: Sequence[str], tenants: Sequence[str],
+def next_after(
+    current: Generation, settings: api.Settings, classes: Sequence[str], tenants: Sequence[str],
     open_classes: Collection[int], open_tenants: Collection[int],
 ) -> Generation:
-    """Bring new settings in force while jobs of these classes and tenants are open; raises TooManyError."""
-    rows, numbers = list(held.rows), dict[int, int]()
+    """Return the generation for new settings while jobs of the given class and tenant numbers are open.
+
+    Raises TooManyError.
+    """
+    rows, numbers = list(current.class_rows), dict[int, int]()
     wanted = _rows(settings, classes)
     for i, row in enumerate(wanted):
         if row in rows:
@@ -55,47 +58,47 @@
             numbers[i] = free.pop(0) if free else len(rows)
             rows[numbers[i]:numbers[i] + 1] = [row]
             fresh.add(numbers[i])
-    # A tenant that went keeps its part while its jobs are open; its number is never another's.
-    tenant_rows = [row if n in open_tenants else (row[0], api.Tenant(GONE))
-                   for n, row in enumerate(held.tenant_rows)]
+    # A removed tenant keeps its portion while its jobs are open; its number is never given to another.
+    tenant_rows = [row if n in open_tenants else (row[0], api.Tenant(GONE_PORTION))
+                   for n, row in enumerate(current.tenant_rows)]
     names, tenant_numbers = [name for name, _ in tenant_rows], []
     for name, tenant in _tenant_rows(settings, tenants):
         n = names.index(name) if name in names else len(tenant_rows)
         tenant_rows[n:n + 1] = [(name, tenant)]
         tenant_numbers.append(n)
-    if len(rows) > MOST or len(tenant_rows) > MOST:
+    if len(rows) > MAX_NUMBERS or len(tenant_rows) > MAX_NUMBERS:
         raise TooManyError("too many classes or tenants have come and gone: start anew")
     return Generation(
-        held.number + 1, _merged(settings, rows, tenant_rows), tuple(rows), tuple(tenant_rows),
+        current.number + 1, _merged(settings, rows, tenant_rows), tuple(rows), tuple(tenant_rows),
         tuple(numbers[i] for i in range(len(wanted))), tuple(tenant_numbers), frozenset(fresh))
 
 
-def keep(held: Generation, row: tuple[str, api.JobClass], tenant: str) -> tuple[Generation, int, int]:
-    """Number a class and a tenant of a job that came under other settings; raises TooManyError.
+def including(current: Generation, row: tuple[str, api.JobClass], tenant: str) -> tuple[Generation, int, int]:
+    """Number the class and tenant of a job that was submitted under other settings.
 
-    Returns the generation held, where it numbers both already, or one that does. What these settings list
-    does not change: no job from now on comes under them.
+    Returns a generation that numbers both, with their numbers: the current one if it does already. New jobs
+    are not affected, since the lists of the settings in force stay the same. Raises TooManyError.
     """
-    rows, tenant_rows, fresh = list(held.rows), list(held.tenant_rows), frozenset[int]()
+    rows, tenant_rows, fresh = list(current.class_rows), list(current.tenant_rows), frozenset[int]()
     if row not in rows:
         rows.append(row)
         fresh = frozenset({len(rows) - 1})
     names = [name for name, _ in tenant_rows]
     if tenant not in names:
         names.append(tenant)
-        tenant_rows.append((tenant, api.Tenant(GONE)))
+        tenant_rows.append((tenant, api.Tenant(GONE_PORTION)))
     numbers = rows.index(row), names.index(tenant)
-    if (len(rows), len(tenant_rows)) == (len(held.rows), len(held.tenant_rows)):
-        return held, *numbers
-    if len(rows) > MOST or len(tenant_rows) > MOST:
+    if (len(rows), len(tenant_rows)) == (len(current.class_rows), len(current.tenant_rows)):
+        return current, *numbers
+    if len(rows) > MAX_NUMBERS or len(tenant_rows) > MAX_NUMBERS:
         raise TooManyError("too many classes or tenants have come and gone: start anew")
     return replace(
-        held, settings=_merged(held.settings, rows, tenant_rows), rows=tuple(rows),
+        current, settings=_merged(current.settings, rows, tenant_rows), class_rows=tuple(rows),
         tenant_rows=tuple(tenant_rows), fresh=fresh), *numbers
 
 
 def _rows(settings: api.Settings, names: Sequence[str]) -> list[tuple[str, api.JobClass]]:
-    """Name the classes and write into each what the settings say for all of them."""
+    """Pair each class's name with its rules, completed by the settings that apply to all classes."""
     rules = [replace(c, max_attempts=settings.max_attempts, alone=not settings.may_duplicate)
              for c in settings.classes]
     return [(names[i] if i < len(names) else f"#{i}", rule) for i, rule in enumerate(rules)]
@@ -111,5 +114,5 @@
 ) -> api.Settings:
     return replace(
         settings, classes=tuple(rule for _, rule in rows), tenants=tuple(t for _, t in tenant_rows),
-        # A class that forbids it says so itself.
+        # A class that forbids duplicates has ``alone`` set.
         may_duplicate=settings.may_duplicate or any(not rule.alone for _, rule in rows))
--- a/hazellead/core/jobs.py
+++ b/hazellead/core/jobs.py
@@ -1,4 +1,4 @@
-"""What the core deals in, and the small interfaces to what stands around it."""
+"""Jobs and attempts, and the interfaces between the scheduler and its clients, workers and metrics."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -10,7 +10,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Job:
-    """What a client asks for. ``identity`` is unique among live jobs; target and body pass on unread."""
+    """A client's job. ``identity`` is unique among open jobs; target and body are passed on uninterpreted."""
 
     identity: str
     target: str
@@ -19,109 +19,109 @@
     tenant: int
     remaining: timedelta
     slots: float = 1.0
-    function: str = ""  # its name among Gearman speakers
-    unique: str = ""  # the key its Gearman client gave
-    class_name: str = ""  # what the settings it came under call its class
-    idempotency_key: str = ""  # by which workers discard repeats, where its client gave one
+    function: str = ""  # its function name for Gearman clients and workers
+    unique: str = ""  # the unique key given by a Gearman client
+    class_name: str = ""  # the class's name in the settings under which the job was submitted
+    idempotency_key: str = ""  # lets workers discard repeats; empty if the client gave none
 
 
 class ClientReply(Protocol):
-    """Where a job's final answer goes; exactly one of the first three is called, once."""
+    """Receives a job's answer: exactly one of served, refused and failed is called, once."""
 
     def served(self, result: bytes) -> None:
-        """Hand over a worker's result."""
+        """Deliver a worker's result."""
 
     def refused(self, retry_after: timedelta) -> None:
-        """Turn the job away; nothing of it ran."""
+        """Refuse the job; no attempt of it has run."""
 
     def failed(self, reason: str) -> None:
-        """Say that it failed; it may have run."""
+        """Report that the job failed; it may have run."""
 
     def began(self) -> None:
         """Report that a worker has started."""
 
     def progressed(self, share: float) -> None:
-        """Report the part done, from 0 to 1."""
+        """Report the share of the work done, from 0 to 1."""
 
     def partial(self, data: bytes, *, warning: bool, exception: bool) -> None:
-        """Pass on what a worker says before its end."""
+        """Pass on data, a warning or an exception that a worker sends before the job's end."""
 
 
 class Attempt:
-    """One push. A transport reports on it here; the first end counts and all later reports are dropped."""
+    """One push of a job to a worker. Its transport reports here; reports after the first end are dropped."""
 
     __slots__ = (
-        "_host", "began_at", "heard", "job", "number", "outcome", "request", "sent", "until", "worker")
+        "_host", "began_at", "job", "number", "outcome", "reported", "request", "sent", "until", "worker")
 
     def __init__(
         self, host: "AttemptHost", request: int, number: int, worker: int, job: Job,
         sent: datetime, until: datetime,
     ) -> None:
-        """Start as out."""
+        """Create an open attempt, to be ended at ``until`` at the latest."""
         self._host, self.request, self.number, self.worker, self.job = host, request, number, worker, job
         self.sent, self.until = sent, until
         self.outcome: api.Outcome | None = None
-        self.heard = False  # its worker has reported on it
-        self.began_at: datetime | None = None  # and, from then on, that it is at it
+        self.reported = False  # the worker has sent a report on it
+        self.began_at: datetime | None = None  # when the worker reported the start
 
     def may_send(self) -> bool:
-        """Say whether its first byte may go out now.
+        """Return whether its first byte may be sent now.
 
-        Guards against what may come about while a connection is being opened: a drain, a time-out, another
-        copy's result or the client's leave, and the end of the time in which a repeat is discarded.
+        Guards against changes while the connection is being opened: a drain, a time-out, the result of
+        another copy, a client that disconnects, and the end of the time in which workers discard a repeat.
         """
         return self.outcome is None and self._host.may_begin(self)
 
     def written(self) -> None:
-        """Report that its last byte has gone out."""
+        """Report that its last byte has been written."""
         self._host.attempt_written()
 
     def began(self) -> None:
-        """Report that the worker is at it."""
+        """Report that the worker has started the job."""
         if self.outcome is None:
             self._host.attempt_began(self)
 
     def progressed(self, share: float) -> None:
-        """Report the part done."""
+        """Report the share of the work done, from 0 to 1."""
         if self.outcome is None:
             self._host.attempt_progressed(self, share)
 
     def partial(self, data: bytes, *, warning: bool, exception: bool) -> None:
-        """Report what the worker says before its end."""
+        """Report data, a warning or an exception that the worker sends before its end."""
         if self.outcome is None:
-            self._host.attempt_said(self, data, warning=warning, exception=exception)
+            self._host.attempt_partial(self, data, warning=warning, exception=exception)
 
     def end(self, outcome: api.Outcome, result: bytes = b"") -> None:
-        """Report its end."""
+        """Report its end, with the worker's result if it was served."""
         if self.outcome is None:
             self.outcome = outcome
             self._host.attempt_ended(self, result)
 
 
 class AttemptHost(Protocol):
-    """What an attempt reports to."""
+    """Receives the reports of attempts; implemented by the scheduler."""
 
     def may_begin(self, attempt: Attempt) -> bool:
-        """Say whether an attempt's first byte may go out now."""
+        """Return whether an attempt's first byte may be sent now."""
 
     def attempt_written(self) -> None:
-        """Take in that one was written whole."""
+        """Handle an attempt that has been written whole."""
 
     def attempt_began(self, attempt: Attempt) -> None:
-        """Take in a start."""
+        """Handle a worker's start of the job."""
 
     def attempt_progressed(self, attempt: Attempt, share: float) -> None:
-        """Take in progress."""
+        """Handle a progress report."""
 
-    def attempt_said(self, attempt: Attempt, data: bytes, *, warning: bool, exception: bool) -> None:
-        """Take in what the worker says."""
+    def attempt_partial(self, attempt: Attempt, data: bytes, *, warning: bool, exception: bool) -> None:
+        """Handle data, a warning or an exception sent before the end."""
 
     def attempt_ended(self, attempt: Attempt, result: bytes) -> None:
-        """Take in the end."""
+        """Handle the end of an attempt; ``attempt.outcome`` is set."""
 
 
 class Tally(Protocol):
-    """Counts what has become of jobs; every front's go through here."""
+    """Counts the final answers and attempts of all client front ends, for metrics."""
 
     def ended(self, class_name: str, end: str) -> None:
         """Count a job's final answer: success, overload (refused) or error."""
@@ -130,59 +130,59 @@
         """Count an attempt written whole to a worker."""
 
 
-class Counted:
-    """A client's reply whose final answer is counted."""
+class CountedReply:
+    """A client's reply that counts its final answer."""
 
     __slots__ = ("_name", "_reply", "_tally", "began", "partial", "progressed")
 
     def __init__(self, reply: ClientReply, tally: Tally, class_name: str) -> None:
-        """Count for this class."""
+        """Count the answer under this class."""
         self._reply, self._tally, self._name = reply, tally, class_name
         self.began, self.progressed, self.partial = reply.began, reply.progressed, reply.partial
 
     def served(self, result: bytes) -> None:
-        """Hand over a worker's result."""
+        """Deliver a worker's result."""
         self._tally.ended(self._name, "success")
         self._reply.served(result)
 
     def refused(self, retry_after: timedelta) -> None:
-        """Turn the job away."""
+        """Refuse the job."""
         self._tally.ended(self._name, "overload")
         self._reply.refused(retry_after)
 
     def failed(self, reason: str) -> None:
-        """Say that it failed."""
+        """Report that the job failed."""
         self._tally.ended(self._name, "error")
         self._reply.failed(reason)
 
 
 class WorkerTransport(Protocol):
-    """Carries attempts to workers; calls ``end`` on each unless given it up first."""
+    """Sends attempts to workers; calls ``end`` on each one that is not given up first."""
 
     def send(self, attempt: Attempt) -> None:
-        """Start an attempt."""
+        """Start sending an attempt."""
 
     def give_up(self, attempt: Attempt) -> None:
-        """Stop an attempt that has just been ended from outside."""
+        """Stop an attempt that the scheduler has just ended."""
 
     def probe(self, worker: int, done: Callable[[api.Outcome], None]) -> None:
-        """Ask whether a worker lives."""
+        """Probe a worker and pass the outcome to ``done``."""
 
     def release(self, worker: int) -> None:
         """Close the idle connections to a worker."""
 
 
 class WorkerDirectory(Protocol):
-    """Tells which workers there are; word arrives at the listener it was given."""
+    """Provides the worker list; lists and changes go to the listener that it was created with."""
 
     def list_expired(self) -> bool:
-        """Say whether the list that was told may no longer be acted on: nothing is sent by it."""
+        """Return whether the lease on the list has expired, so that nothing may be sent."""
 
     def subscribe(self) -> None:
-        """Follow the list from now on; a failure is told and ends it."""
+        """Watch the list from now on; a failure is reported to the listener and ends the watch."""
 
     def fetch(self) -> None:
-        """Ask once for the whole list."""
+        """Fetch the full list once."""
 
     def name(self, worker: int) -> str:
-        """Return what a worker is called, for the log."""
+        """Return a worker's name, as used in the log and by other processes."""
--- a/hazellead/core/scheduler.py
+++ b/hazellead/core/scheduler.py
@@ -1,4 +1,4 @@
-"""Drives one ``Dispatcher``: owns its timers, the table of requests and their one final answer each."""
+"""Runs one ``Dispatcher``: owns its timers and the open requests, and answers each request exactly once."""
 
 from collections import OrderedDict
 from collections.abc import Callable, Iterable, Iterator, Sequence
@@ -11,8 +11,16 @@
 from tornado.ioloop import IOLoop
 
 from hazellead.core import generations
-from hazellead.core.clock import EPOCH, Clock, span, to_us
-from hazellead.core.jobs import Attempt, ClientReply, Counted, Job, Tally, WorkerDirectory, WorkerTransport
+from hazellead.core.clock import EPOCH, Clock, from_us, to_us
+from hazellead.core.jobs import (
+    Attempt,
+    ClientReply,
+    CountedReply,
+    Job,
+    Tally,
+    WorkerDirectory,
+    WorkerTransport,
+)
 from hazellead.decide import interface as api
 from hazellead.decide.choice import Dispatcher
 from hazellead.limits import Limits
@@ -27,156 +35,158 @@
 class _Request:
     number: int
     job: Job
-    until: datetime  # when the scheduler stops waiting
-    deadline: datetime  # when it would, were it not for its own end
-    reply: ClientReply | None  # None once answered, or when nobody waits any more
+    until: datetime  # when the scheduler stops waiting: the deadline, or its own shutdown if that is earlier
+    deadline: datetime  # the client's deadline, less the answer margin
+    reply: ClientReply | None  # None once answered or abandoned
     attempts: list[Attempt] = field(default_factory=list)
     timer: object = None
-    orphaned: bool = False  # nobody waits at present, though one may come back for the answer
-    parked: bool = False  # on its way to another process: nothing is begun or ended here
+    orphaned: bool = False  # no client waits at present, but one may come back for the answer
+    parked: bool = False  # offered to another process: no attempt is started or ended here
 
 
 class Scheduler:
-    """Takes jobs in, carries out what the module decides and answers each job once."""
+    """Accepts jobs, carries out the dispatcher's decisions and answers each job once."""
 
     def __init__(
         self, settings: api.Settings, seed: int, limits: Limits, clock: Clock, loop: IOLoop,
         tally: Tally | None = None, names: tuple[Sequence[str], Sequence[str]] = ((), ()),
     ) -> None:
-        """Set up; ``connect`` must follow before the first event. ``names`` are the classes' and tenants'."""
+        """Set up; call ``connect`` before the first event. ``names`` are the class and the tenant names."""
         self.limits, self._clock, self._loop = limits, clock, loop
         self._tally = tally
-        self.generation = generations.first(settings, *names)
+        self.generation = generations.initial(settings, *names)
         self.settings = self.generation.settings
         self._dispatcher = Dispatcher(self.settings, seed)
         self._requests: dict[int, _Request] = {}
         self._identities: set[str] = set()
-        self._ended: OrderedDict[str, None] = OrderedDict()  # those that have lately ended
+        self._ended_ids: OrderedDict[str, None] = OrderedDict()  # of recently ended requests
         self._listed: dict[int, api.WorkerEntry] = {}
-        self._draining: set[int] = set()  # listed as draining, and not as ready since
-        self._list_expired = False  # as the decisions were told last
-        self._expired_since: datetime | None = None  # of a lease that had been held; for the log
-        self._lease_held = False  # since the start
+        self._draining: set[int] = set()  # workers listed as draining and not as ready since
+        self._list_expired = False  # the state last reported to the dispatcher
+        self._expired_since: datetime | None = None  # when a lease that had been held ran out; for the log
+        self._lease_held = False  # at any time since the start
         self._events: list[api.Event] = []
-        self._tick = span(settings.tick_us)
-        self._last, self._due, self._count = clock.now() - self._tick, False, 0
-        self._elsewhere: dict[int, tuple[int, int]] = {}
-        self._emptied: Callable[[], None] | None = None
-        self._end: datetime | None = None  # by when all is answered, once the end has been called
-        self.passes_on = False  # another process takes over what would outlast that
+        self._tick = from_us(settings.tick_us)
+        self._last_step, self._step_due, self._last_number = clock.now() - self._tick, False, 0
+        self._attempts_elsewhere: dict[int, tuple[int, int]] = {}
+        self._on_empty: Callable[[], None] | None = None
+        self._shutdown_at: datetime | None = None  # by when every job is answered, once shutdown has begun
+        self.migrates_jobs = False  # another process takes over jobs that would outlast the shutdown
         self._transport: WorkerTransport
         self._directory: WorkerDirectory
 
     def connect(self, transport: WorkerTransport, directory: WorkerDirectory) -> None:
-        """Name what carries attempts and what tells of workers."""
+        """Set the transport that carries attempts and the directory that lists the workers."""
         self._transport, self._directory = transport, directory
 
     @property
-    def held(self) -> int:
-        """Return how many requests still wait for their answer."""
+    def unanswered(self) -> int:
+        """Return how many requests have not been answered yet."""
         return sum(r.reply is not None for r in self._requests.values())
 
     @property
-    def knows_workers(self) -> bool:
-        """Say whether any worker is open to work."""
-        return any(self.open_to_work(w) for w in self._listed)
+    def has_available_workers(self) -> bool:
+        """Return whether any listed worker accepts new work."""
+        return any(self.is_available(w) for w in self._listed)
 
-    # From clients.
+    # Requests from clients.
 
-    def has_taken(self, identity: str) -> bool:
-        """Say whether a request of this id is open or has lately ended: ids are fresh with every request.
+    def has_seen(self, identity: str) -> bool:
+        """Return whether a request with this id is open or ended recently; every request must use a new id.
 
-        Guards against posting twice, and against two requests that call-backs could not tell apart.
+        Guards against running a job twice, and against two requests that call-backs could not tell apart.
         """
-        return identity in self._identities or identity in self._ended
+        return identity in self._identities or identity in self._ended_ids
 
     def refuse(self, job: Job, reply: ClientReply) -> None:
-        """Turn a job away that a front does not want to bring."""
-        self._counted(job, reply).refused(self.limits.busy_retry)
+        """Refuse a job that a client front end does not want to submit."""
+        self._with_counting(job, reply).refused(self.limits.busy_retry)
 
-    def _counted(self, job: Job, reply: ClientReply) -> ClientReply:
-        return Counted(reply, self._tally, job.class_name) if self._tally else reply
+    def _with_counting(self, job: Job, reply: ClientReply) -> ClientReply:
+        return CountedReply(reply, self._tally, job.class_name) if self._tally else reply
 
-    def following(
+    def next_generation(
         self, settings: api.Settings, classes: Sequence[str], tenants: Sequence[str],
     ) -> generations.Generation:
-        """Return the generation that these settings would be, with nothing changed; raises TooManyError."""
+        """Build the generation for new settings without applying it; raises TooManyError."""
         jobs = [r.job for r in self._requests.values()]
-        return generations.follow(self.generation, settings, classes, tenants,
-                                  {j.job_class for j in jobs}, {j.tenant for j in jobs})
+        return generations.next_after(self.generation, settings, classes, tenants,
+                                      {j.job_class for j in jobs}, {j.tenant for j in jobs})
 
-    def retune(self, generation: generations.Generation) -> None:
-        """Bring it in force for the jobs that come from now on."""
+    def apply_generation(self, generation: generations.Generation) -> None:
+        """Put a generation into effect for jobs submitted from now on."""
         self.generation, self.settings = generation, generation.settings
-        self._tick = span(self.settings.tick_us)
-        self._put(api.Retuned(self.settings, generation.fresh))
+        self._tick = from_us(self.settings.tick_us)
+        self._enqueue(api.Retuned(self.settings, generation.fresh))
 
     @property
     def open_identities(self) -> frozenset[str]:
-        """Return the ids that are open."""
+        """Return the ids of open requests."""
         return frozenset(self._identities)
 
     @property
     def ended_identities(self) -> list[str]:
-        """Return the ids that have lately ended, the oldest first."""
-        return list(self._ended)
+        """Return the ids of requests that ended recently, oldest first."""
+        return list(self._ended_ids)
 
     def remember(self, identities: Iterable[str]) -> None:
-        """Take these ids as used."""
-        self._ended |= dict.fromkeys(identities)
-        while len(self._ended) > self.limits.taken:
-            self._ended.popitem(last=False)
+        """Treat these ids as used by requests that have ended."""
+        self._ended_ids |= dict.fromkeys(identities)
+        while len(self._ended_ids) > self.limits.ended_ids:
+            self._ended_ids.popitem(last=False)
 
     def submit(self, job: Job, reply: ClientReply) -> int:
-        """Take a job in and return the number by which it can be abandoned."""
-        self._count += 1
-        reply = self._counted(job, reply)
+        """Accept or refuse a job; return the number that identifies it in later calls."""
+        self._last_number += 1
+        reply = self._with_counting(job, reply)
         if job.identity in self._identities:
-            # Guards against posting twice: the same id again may concern a job that runs at this moment.
+            # Guards against running a job twice: the job with this id may be running at this moment.
             reply.failed("this id is being worked on")
-        elif self.room <= 0 or self._would_outlast_end(job):
+        elif self.free_capacity <= 0 or self._would_outlast_shutdown(job):
             reply.refused(self.limits.busy_retry)
         else:
-            self._take(job, reply, max(job.remaining - self.limits.answer_margin, timedelta(0)))
-        return self._count
+            self._accept(job, reply, max(job.remaining - self.limits.answer_margin, timedelta(0)))
+        return self._last_number
 
-    def _take(self, job: Job, reply: ClientReply, left: timedelta, attempts: Sequence[Attempt] = ()) -> None:
+    def _accept(
+        self, job: Job, reply: ClientReply, left: timedelta, attempts: Sequence[Attempt] = (),
+    ) -> None:
         deadline = self._clock.now() + left
-        request = _Request(self._count, job, deadline, deadline, reply, list(attempts))
+        request = _Request(self._last_number, job, deadline, deadline, reply, list(attempts))
         request.timer = self._loop.add_timeout(left, self._expire, request)
-        self._bound(request)
+        self._cap_deadline(request)
         self._requests[request.number] = request
         self._identities.add(job.identity)
         made = tuple(api.Made(a.worker, to_us(a.sent - EPOCH), to_us(a.began_at - EPOCH) if a.began_at else 0,
                               a.outcome) for a in attempts)
-        self._put(api.Arrival(
+        self._enqueue(api.Arrival(
             request.number, job.job_class, to_us(left), job.tenant, job.slots, made=made))
 
     def abandon(self, number: int) -> None:
-        """Note that the client has gone; the module decides what becomes of an attempt that is out."""
+        """Record that the client has disconnected; the dispatcher decides whether to cancel open attempts."""
         request = self._requests.get(number)
         if request and request.reply:
             request.reply = None
-            self._put(api.Abandoned(number))
-            self._forget(request)
+            self._enqueue(api.Abandoned(number))
+            self._remove_if_done(request)
 
     def orphan(self, number: int) -> None:
-        """Note that nobody waits at present: what is out goes on to its end, and nothing more is begun."""
+        """Record that no client waits at present: open attempts run to their end and none is started."""
         if request := self._requests.get(number):
             request.orphaned = True
             self._end_orphan(request)
 
     def rejoin(self, number: int) -> None:
-        """Note that somebody waits again."""
+        """Record that a client waits for an orphaned job again."""
         if request := self._requests.get(number):
             request.orphaned = False
 
-    # Between two processes, of which one takes the other's place. core/passing.py has the steps.
+    # Migration of open jobs to a process that replaces this one; core/migration.py has the steps.
 
-    def waited_for(self, number: int) -> "tuple[Job, datetime, Sequence[Attempt]] | None":
-        """Return a job, when its client gives up (less the margin) and its attempts.
+    def unanswered_job(self, number: int) -> "tuple[Job, datetime, Sequence[Attempt]] | None":
+        """Return a job, its deadline (the client's, less the answer margin) and its attempts.
 
-        None if it is answered, parked, or waited for by nobody.
+        Returns None if the job is unknown, answered or parked, or if no client waits for it.
         """
         request = self._requests.get(number)
         if request is None or request.reply is None or request.orphaned or request.parked:
@@ -184,116 +194,118 @@
         return request.job, request.deadline, request.attempts
 
     def attempts(self, number: int) -> Sequence[Attempt]:
-        """Return the attempts made for a job that is held."""
+        """Return the attempts made for a job; empty if the job is not open."""
         return self._requests[number].attempts if number in self._requests else ()
 
     def park(self, number: int, *, on: bool) -> None:
-        """Begin and end nothing of a job while another process is asked to take it, or go on with it."""
+        """Suspend a job while it is offered to another process, or resume it."""
         if request := self._requests.get(number):
             request.parked = on
-            if not on and self._clock.now() >= request.until:  # its time ran out meanwhile
-                (self._cut if request.until < request.deadline else self._expire)(request)
+            if not on and self._clock.now() >= request.until:  # its time ran out while it was parked
+                (self._end_early if request.until < request.deadline else self._expire)(request)
 
-    def part(self, number: int) -> None:
-        """Forget a job that another process has taken, with its attempts; its id stays used here."""
+    def forget_migrated(self, number: int) -> None:
+        """Drop a job that another process has taken over, with its attempts; its id still counts as used."""
         if request := self._requests.get(number):
             request.reply = None
             for attempt in request.attempts:
                 if attempt.outcome is None:
                     attempt.outcome = api.Outcome.MOOT
-                    self._put(api.AttemptEnded(
+                    self._enqueue(api.AttemptEnded(
                         number, attempt.number, attempt.worker, api.Outcome.MOOT, 0, complete=True))
-            self._forget(request)
+            self._remove_if_done(request)
 
     @property
-    def room(self) -> int:
-        """Return how many more requests may be held."""
+    def free_capacity(self) -> int:
+        """Return how many more requests can be accepted."""
         return self.limits.requests - len(self._requests)
 
     def adopt(
         self, job: Job, reply: ClientReply, left: timedelta, attempts: Callable[[int], Sequence[Attempt]],
     ) -> int:
-        """Take in a job that another process had, with the attempts made for it; return its number."""
-        self._count += 1
-        self._ended.pop(job.identity, None)
-        own = attempts(self._count)
-        self._take(job, self._counted(job, reply), left, own)
+        """Accept a job from another process with the attempts made for it; return its number here."""
+        self._last_number += 1
+        self._ended_ids.pop(job.identity, None)
+        own = attempts(self._last_number)
+        self._accept(job, self._with_counting(job, reply), left, own)
         for attempt in own:
-            if attempt.outcome is None and attempt.until < self._requests[self._count].until:
+            if attempt.outcome is None and attempt.until < self._requests[self._last_number].until:
                 self._loop.add_timeout(
                     attempt.until - self._clock.now(), self._stop, attempt, api.Outcome.TIMED_OUT)
-        return self._count
+        return self._last_number
 
     def _end_orphan(self, request: _Request) -> None:
-        """Give one up of which no attempt is out."""
+        """Give up an orphaned request if it has no open attempt."""
         if not any(a.outcome is None for a in request.attempts):
             self._give_up(request, "given up, since nobody waits")
 
     def _give_up(self, request: _Request, reason: str) -> None:
-        """End one with no attempt out before the module does: refused if surely nothing ran, else failed."""
+        """End a request that has no open attempt: refused if no attempt can have run, else failed."""
         if request.reply:
             reply, request.reply = request.reply, None
             if all(a.outcome in api.NEVER_RAN for a in request.attempts):
                 reply.refused(self.limits.busy_retry)
             else:
                 reply.failed(reason)
-            self._put(api.Abandoned(request.number))
-        self._forget(request)
+            self._enqueue(api.Abandoned(request.number))
+        self._remove_if_done(request)
 
     def end_by(self, end: datetime) -> None:
-        """Answer whatever is held or still comes by then, however much longer its client would wait."""
-        self._end = end
+        """Begin shutdown: answer every open or new job by ``end``, even if its client would wait longer."""
+        self._shutdown_at = end
         for request in list(self._requests.values()):
-            if not request.attempts and not request.parked and self._would_outlast_end(request.job):
+            if not request.attempts and not request.parked and self._would_outlast_shutdown(request.job):
                 self._give_up(request, "the scheduler ends")
             else:
-                self._bound(request)
+                self._cap_deadline(request)
 
-    def _would_outlast_end(self, job: Job) -> bool:
-        """Say whether a job that was sent now would still run when this process ends, with nobody to go on.
+    def _would_outlast_shutdown(self, job: Job) -> bool:
+        """Return whether a job sent now would still be running at shutdown with no process to continue it.
 
-        Its client can have it done elsewhere: what is sent is failed here at the end, and may not be repeated
-        where it may have run.
+        Such a job is better refused, so that its client can submit it elsewhere: once sent, it would be
+        failed at shutdown, and could not be repeated where it may have run.
         """
-        if self._end is None:
+        if self._shutdown_at is None:
             return False
-        left = self._end - self._clock.now()
+        left = self._shutdown_at - self._clock.now()
         if left <= timedelta(0):
             return True
-        return not self.passes_on and self._expected_run(job.job_class) > left
+        return not self.migrates_jobs and self._expected_run(job.job_class) > left
 
     def _expected_run(self, job_class: int) -> timedelta:
-        """Return how long a job of a class runs: as those that have ended here, else as those that run."""
+        """Estimate how long a job of a class runs: from ended jobs or, without any, from running ones."""
         seen_us = self._dispatcher.expected_run_us(job_class)
         if seen_us is not None:
-            return span(seen_us)
+            return from_us(seen_us)
         now = self._clock.now()
         running = [now - attempt.began_at for request in self._requests.values()
                    if request.job.job_class == job_class
                    for attempt in request.attempts if attempt.outcome is None and attempt.began_at]
         return median_low(running) if running else timedelta(0)
 
-    def _bound(self, request: _Request) -> None:
-        # The module keeps to the client's own deadline: to it, less time would mark a client's later try.
-        if self._end and self._end < request.until:
+    def _cap_deadline(self, request: _Request) -> None:
+        # Only the scheduler applies the earlier end. The dispatcher keeps the client's own deadline, since it
+        # takes a shorter one for the sign of a client's later try.
+        if self._shutdown_at and self._shutdown_at < request.until:
             self._loop.remove_timeout(request.timer)
-            request.until = self._end
-            request.timer = self._loop.add_timeout(self._end - self._clock.now(), self._cut, request)
+            request.until = self._shutdown_at
+            request.timer = self._loop.add_timeout(
+                self._shutdown_at - self._clock.now(), self._end_early, request)
 
-    def _cut(self, request: _Request) -> None:
-        """Answer a request before its deadline."""
+    def _end_early(self, request: _Request) -> None:
+        """End a request at shutdown, before its deadline."""
         if request.parked:
             return
         for attempt in request.attempts:
             self._stop(attempt, api.Outcome.TIMED_OUT)
         self._give_up(request, "the scheduler ends")
 
-    # From the directory.
+    # The worker list.
 
-    def listed(self, event: api.WorkerList) -> None:
-        """Take in the worker list. Its drains bind sends at once, before the module's next step."""
+    def on_list(self, event: api.WorkerList) -> None:
+        """Apply a worker list. Its drains stop sends at once, before the dispatcher's next step."""
         if event.kind in (api.ListKind.FULL, api.ListKind.CACHED):
-            # What a whole list no longer names is gone, and need not be remembered to be so.
+            # A worker that a full list does not name is gone; its entry can be dropped.
             self._listed.clear()
         self._listed |= {e.worker: e for e in event.entries}
         for entry in event.entries:
@@ -301,13 +313,14 @@
                 self._draining.add(entry.worker)
             elif entry.phase is api.Phase.READY:
                 self._draining.discard(entry.worker)
-        # An answer with no news renews the lease at most: the decisions need not go through their list.
+        # A list without changes at most renews the lease: the dispatcher need not process it.
         if event.entries or event.kind is not api.ListKind.CHANGES or self._list_expired:
-            self._put(event)
+            self._enqueue(event)
 
-    def open_to_work(self, worker: int) -> bool:
-        """Say whether a worker may be sent new work, as far as this scheduler was told."""
-        # Guards a drain where only drains bind: its server stays closed once it is gone, or is named no more.
+    def is_available(self, worker: int) -> bool:
+        """Return whether a worker accepts new work according to the lists received."""
+        # Checked first: with ``drain_binds_alone`` only drains exclude a worker, and a drained one must stay
+        # excluded once it is gone or no longer listed.
         if worker in self._draining:
             return False
         entry = self._listed.get(worker)
@@ -315,94 +328,95 @@
         return not gone or self.settings.drain_binds_alone
 
     def may_send_to(self, worker: int) -> bool:
-        """Say whether something new may be sent to a worker now: by its phase and the lease on the list."""
-        return self.open_to_work(worker) and not self._directory.list_expired()
+        """Return whether the worker's phase and the lease on the list allow sending new work to it now."""
+        return self.is_available(worker) and not self._directory.list_expired()
 
     def may_begin(self, attempt: Attempt) -> bool:
-        """Say whether an attempt's first byte may go out now."""
+        """Return whether an attempt's first byte may be sent now."""
         request = self._requests.get(attempt.request)
         waited_for = request is not None and request.reply is not None and not (
             request.orphaned or request.parked)
         return waited_for and self.may_send_to(attempt.worker) and self._may_repeat(attempt)
 
     def _may_repeat(self, attempt: Attempt) -> bool:
-        """Say whether what its earlier attempts may have done allows this one, by its class's effect."""
+        """Return whether the class's effect allows this attempt after earlier ones that may have run."""
         earlier = [a.sent for a in self._requests[attempt.request].attempts
                    if a is not attempt and a.outcome not in api.NEVER_RAN]
-        kind = self.settings.classes[attempt.job.job_class]
-        if not earlier or kind.effect is api.Effect.SAFE:
+        rules = self.settings.classes[attempt.job.job_class]
+        if not earlier or rules.effect is api.Effect.SAFE:
             return True
-        return kind.effect is api.Effect.KEYED and self._clock.now() < min(earlier) + span(kind.key_ttl_us)
+        return rules.effect is api.Effect.KEYED and (
+            self._clock.now() < min(earlier) + from_us(rules.key_ttl_us))
 
-    # What the decisions know, for instances that learn from each other.
+    # The dispatcher's knowledge, shared between instances.
 
     @property
     def workers(self) -> tuple[api.WorkerEntry, ...]:
-        """Return the list of workers as it was told."""
+        """Return the entries of the worker list as received."""
         return tuple(self._listed.values())
 
     def worker_name(self, worker: int) -> str:
-        """Return what a worker is called everywhere."""
+        """Return the name under which all processes know a worker."""
         return self._directory.name(worker)
 
     def known(self) -> "Known":
-        """Return what this scheduler's decisions have seen themselves."""
+        """Return what this scheduler's dispatcher has observed itself."""
         return self._dispatcher.known()
 
     def learn(self, known: "Known") -> None:
-        """Let the decisions take over what others have seen, of the list as it is now."""
+        """Pass observations of other instances to the dispatcher, once it has handled all queued events."""
         if self._events:
             self._step()
         self._dispatcher.learn(known)
 
     @property
     def listed_workers(self) -> tuple[int, int]:
-        """Return how many workers are in the list, and how many of them the module now avoids."""
-        there = [e.worker for e in self._listed.values() if e.phase is not api.Phase.GONE]
-        return len(there), len(self._dispatcher.avoided().intersection(there))
+        """Return how many workers are listed, and how many of these the dispatcher avoids at present."""
+        present = [e.worker for e in self._listed.values() if e.phase is not api.Phase.GONE]
+        return len(present), len(self._dispatcher.avoided().intersection(present))
 
-    def out(self) -> dict[int, tuple[int, int]]:
-        """Return, by worker, how many attempts are out and how many of them have not begun."""
-        out = dict[int, tuple[int, int]]()
+    def open_attempts(self) -> dict[int, tuple[int, int]]:
+        """Return, by worker, the number of open attempts and how many of these have not begun."""
+        counts = dict[int, tuple[int, int]]()
         for attempt in (a for r in self._requests.values() for a in r.attempts if a.outcome is None):
-            held, waiting = out.get(attempt.worker, (0, 0))
-            out[attempt.worker] = held + 1, waiting + (attempt.began_at is None)
-        return out
+            total, waiting = counts.get(attempt.worker, (0, 0))
+            counts[attempt.worker] = total + 1, waiting + (attempt.began_at is None)
+        return counts
 
-    def elsewhere(self, out: dict[int, tuple[int, int]]) -> None:
-        """Let the decisions know what another process of this scheduler has out."""
-        for worker in self._elsewhere.keys() | out.keys():
-            if (now := out.get(worker, (0, 0))) != self._elsewhere.get(worker, (0, 0)):
-                self._put(api.Elsewhere(worker, *now))
-        self._elsewhere = out
+    def set_attempts_elsewhere(self, counts: dict[int, tuple[int, int]]) -> None:
+        """Report to the dispatcher the open attempts of another process of this scheduler, by worker."""
+        for worker in self._attempts_elsewhere.keys() | counts.keys():
+            if (now := counts.get(worker, (0, 0))) != self._attempts_elsewhere.get(worker, (0, 0)):
+                self._enqueue(api.Elsewhere(worker, *now))
+        self._attempts_elsewhere = counts
 
-    # From attempts.
+    # Reports from attempts.
 
     def attempt_written(self) -> None:
-        """Count it."""
+        """Count an attempt that has been written whole."""
         if self._tally:
             self._tally.dispatched()
 
     def attempt_began(self, attempt: Attempt) -> None:
-        """Pass a start on to the module and the client."""
+        """Report a start to the dispatcher and the client."""
         attempt.began_at = attempt.began_at or self._clock.now()
-        self._put(api.JobBegan(attempt.request, attempt.number, attempt.worker))
+        self._enqueue(api.JobBegan(attempt.request, attempt.number, attempt.worker))
         if reply := self._requests[attempt.request].reply:
             reply.began()
 
     def attempt_progressed(self, attempt: Attempt, share: float) -> None:
-        """Pass progress on; to the module it is a sign of life."""
-        self._put(api.JobBegan(attempt.request, attempt.number, attempt.worker))
+        """Report progress to the client; the dispatcher takes it as a sign of life."""
+        self._enqueue(api.JobBegan(attempt.request, attempt.number, attempt.worker))
         if reply := self._requests[attempt.request].reply:
             reply.progressed(share)
 
-    def attempt_said(self, attempt: Attempt, data: bytes, *, warning: bool, exception: bool) -> None:
-        """Pass on what a worker says; the module has no use for it."""
+    def attempt_partial(self, attempt: Attempt, data: bytes, *, warning: bool, exception: bool) -> None:
+        """Pass a partial result on to the client; the dispatcher does not use it."""
         if reply := self._requests[attempt.request].reply:
             reply.partial(data, warning=warning, exception=exception)
 
     def attempt_ended(self, attempt: Attempt, result: bytes) -> None:
-        """Tell the module, once for each push; a result goes to the client without waiting for it."""
+        """Report the end of an attempt to the dispatcher; a result goes to the client at once."""
         request = self._requests[attempt.request]
         assert attempt.outcome is not None
         if attempt.outcome is api.Outcome.SERVED and request.reply:
@@ -412,37 +426,38 @@
             log.info("attempt_failed", job=attempt.job.identity, worker=self._directory.name(attempt.worker),
                      attempt=attempt.number, outcome=attempt.outcome.value,
                      spent=(self._clock.now() - attempt.sent).total_seconds())
-        self._put(api.AttemptEnded(
+        self._enqueue(api.AttemptEnded(
             attempt.request, attempt.number, attempt.worker, attempt.outcome,
             max(0, to_us(self._clock.now() - attempt.sent)), request.reply is None))
         if request.orphaned:
             self._end_orphan(request)
-        self._forget(request)
+        self._remove_if_done(request)
 
-    # The module's steps.
+    # Steps of the dispatcher.
 
-    def _put(self, event: api.Event) -> None:
-        """Queue an event; the module handles what has come in once a tick at most."""
+    def _enqueue(self, event: api.Event) -> None:
+        """Queue an event; the dispatcher handles the queued events at most once per tick."""
         self._events.append(event)
-        if not self._due:
-            self._due = True
-            self._loop.add_timeout(max(timedelta(0), self._last + self._tick - self._clock.now()), self._step)
+        if not self._step_due:
+            self._step_due = True
+            self._loop.add_timeout(
+                max(timedelta(0), self._last_step + self._tick - self._clock.now()), self._step)
 
     def _step(self) -> None:
-        self._due, self._last = False, self._clock.now()
+        self._step_due, self._last_step = False, self._clock.now()
         events, self._events = [*self._lease_changes(), *self._events], []
         try:
             actions = self._dispatcher.handle(self._clock.now_us(), events)
         except Exception:
-            # Guards the requests that are held: a fault in one decision must not keep their deadlines from
-            # being answered.
+            # Guards open requests: after a fault in one decision they must still be answered at their
+            # deadlines.
             log.exception("decision_fault")
             return
         for action in actions:
             self._carry_out(action)
 
     def _lease_changes(self) -> Iterator[api.LeaseChanged]:
-        """Tell the decisions if the lease on the list has run out or been renewed since their last step."""
+        """Yield an event if the lease on the list has expired or been renewed since the last step."""
         expired = bool(self._directory.list_expired())
         self._log_lease(expired)
         if expired is self._list_expired:
@@ -451,10 +466,10 @@
         yield api.LeaseChanged(held=not expired)
 
     def _log_lease(self, expired: bool) -> None:
-        """Log the end of a lease that was held, and the renewal after it; a start without one is no news."""
+        """Log the expiry of a lease and its renewal; a start without a lease is not logged."""
         if expired and self._lease_held and self._expired_since is None:
             self._expired_since = self._clock.now()
-            log.warning("server_list_expired", held=self.held)
+            log.warning("server_list_expired", held=self.unanswered)
         elif not expired and self._expired_since is not None:
             spent = (self._clock.now() - self._expired_since).total_seconds()
             self._expired_since = None
@@ -466,20 +481,20 @@
             case api.Push():
                 self._push(action)
             case api.Refuse():
-                if request := self._closing(action.request):
-                    request.refused(span(action.retry_after_us))
+                if reply := self._take_reply(action.request):
+                    reply.refused(from_us(action.retry_after_us))
             case api.Fail():
-                if request := self._closing(action.request):
-                    request.failed("given up")
+                if reply := self._take_reply(action.request):
+                    reply.failed("given up")
             case api.Cancel():
-                request_ = self._requests.get(action.request)
-                if request_ and action.attempt < len(request_.attempts):
-                    self._stop(request_.attempts[action.attempt], api.Outcome.CANCELLED)
+                request = self._requests.get(action.request)
+                if request and action.attempt < len(request.attempts):
+                    self._stop(request.attempts[action.attempt], api.Outcome.CANCELLED)
             case api.SetTimer():
-                self._loop.add_timeout(span(action.after_us), self._put, api.TimerFired(action.token))
+                self._loop.add_timeout(from_us(action.after_us), self._enqueue, api.TimerFired(action.token))
             case api.Probe():
                 worker = action.worker
-                self._transport.probe(worker, lambda outcome: self._put(api.ProbeEnded(worker, outcome)))
+                self._transport.probe(worker, lambda outcome: self._enqueue(api.ProbeEnded(worker, outcome)))
             case api.Release():
                 self._transport.release(action.worker)
             case api.Subscribe():
@@ -492,20 +507,20 @@
     def _push(self, action: api.Push) -> None:
         request = self._requests.get(action.request)
         now = self._clock.now()
-        if request is None:  # the module owes this never to happen, and the table no longer has the job
-            self._put(api.AttemptEnded(action.request, 0, action.worker, api.Outcome.MOOT, 0, True))
+        if request is None:  # a fault of the dispatcher: the job is not open any more
+            self._enqueue(api.AttemptEnded(action.request, 0, action.worker, api.Outcome.MOOT, 0, True))
             return
-        # One that goes to the next process must not be told to end with this one.
-        until = request.deadline if self.passes_on else request.until
+        # A job that another process will take over must not be timed out at this one's shutdown.
+        until = request.deadline if self.migrates_jobs else request.until
         if action.timeout_us:
-            until = min(until, now + span(action.timeout_us))
+            until = min(until, now + from_us(action.timeout_us))
         number = len(request.attempts)
         attempt = Attempt(self, request.number, number, action.worker, request.job, now, until)
-        out = any(a.outcome is None for a in request.attempts)
+        has_open = any(a.outcome is None for a in request.attempts)
         request.attempts.append(attempt)
-        kind = request.job.job_class
-        most, copies = self.settings.attempts(kind), self.settings.copies(kind)
-        if number >= most or now >= until or (out and not copies) or (
+        job_class = request.job.job_class
+        max_attempts, copies = self.settings.attempts(job_class), self.settings.copies(job_class)
+        if number >= max_attempts or now >= until or (has_open and not copies) or (
                 not attempt.may_send()):
             attempt.end(api.Outcome.MOOT)
             return
@@ -519,43 +534,43 @@
             self._transport.give_up(attempt)
 
     def _expire(self, request: _Request) -> None:
-        """End what is still out at the deadline; the module answers in the same step."""
+        """End open attempts at the deadline; the dispatcher decides the answer in the same step."""
         if request.parked:
             return
         for attempt in request.attempts:
             self._stop(attempt, api.Outcome.TIMED_OUT)
         if request.reply:
             self._step()
-        if request.reply:  # guards against a request that no decision ends
+        if request.reply:  # guards against a request that the dispatcher never ends
             log.warning("deadline_unanswered", job=request.job.identity)
             reply, request.reply = request.reply, None
             reply.failed("out of time")
-            self._put(api.Abandoned(request.number))
-        self._forget(request)
+            self._enqueue(api.Abandoned(request.number))
+        self._remove_if_done(request)
 
-    def _closing(self, number: int) -> ClientReply | None:
-        """Take a request's reply for its final answer; None if it has had one."""
+    def _take_reply(self, number: int) -> ClientReply | None:
+        """Detach a request's reply for the final answer; return None if it has been answered or abandoned."""
         request = self._requests.get(number)
         if request is None or request.reply is None:
             return None
         reply, request.reply = request.reply, None
-        self._forget(request)
+        self._remove_if_done(request)
         return reply
 
-    def _forget(self, request: _Request) -> None:
-        """Drop a request once it is answered and no attempt is out."""
+    def _remove_if_done(self, request: _Request) -> None:
+        """Remove a request once it is answered or abandoned and has no open attempt."""
         if request.reply is None and all(a.outcome for a in request.attempts):
             if self._requests.pop(request.number, None):
                 self._identities.discard(request.job.identity)
-                self._ended[request.job.identity] = None
-                if len(self._ended) > self.limits.taken:
-                    self._ended.popitem(last=False)
+                self._ended_ids[request.job.identity] = None
+                if len(self._ended_ids) > self.limits.ended_ids:
+                    self._ended_ids.popitem(last=False)
                 self._loop.remove_timeout(request.timer)
-            if self._emptied and not self._requests:
-                self._emptied()
+            if self._on_empty and not self._requests:
+                self._on_empty()
 
     def when_empty(self, done: Callable[[], None]) -> None:
-        """Call back once no request is held and no attempt is out."""
-        self._emptied = done
+        """Call ``done`` once no request and no attempt is open."""
+        self._on_empty = done
         if not self._requests:
             done()
--- a/hazellead/gearman/clients.py
+++ b/hazellead/gearman/clients.py
@@ -68,9 +68,9 @@
         if not fresh:
             return
         now = self._scheduler.generation
-        tenant = now.tenants[function.tenant] if now.tenants else 0
-        job = Job(uuid.uuid4().hex, f"/{function.class_name}", data, now.classes[function.job_class], tenant,
-                  function.deadline, function=function.name, unique=unique.decode("latin-1"),
+        tenant = now.tenant_ids[function.tenant] if now.tenant_ids else 0
+        job = Job(uuid.uuid4().hex, f"/{function.class_name}", data, now.class_ids[function.job_class],
+                  tenant, function.deadline, function=function.name, unique=unique.decode("latin-1"),
                   class_name=function.class_name)
         if not self._takes_jobs():
             self._scheduler.refuse(job, ticket)
--- a/hazellead/gearman/config.py
+++ b/hazellead/gearman/config.py
@@ -6,7 +6,7 @@
 from pathlib import Path
 from typing import Any
 
-from hazellead.core.clock import span, to_us
+from hazellead.core.clock import from_us, to_us
 from hazellead.gearman.clients import Function
 from hazellead.platform.config import Config, ConfigError, address, assemble, place
 
@@ -55,7 +55,7 @@
     tenant = place(base.names.tenants, str(row.get("tenant", ""))) if base.names.tenants else 0
     if tenant < 0:
         raise ConfigError(f"{what}: tenant is missing or unknown")
-    most = span(base.settings.classes[job_class].deadline_us)
+    most = from_us(base.settings.classes[job_class].deadline_us)
     given = row.get("deadline_ms", most // _MS)
     if not isinstance(given, int) or not timedelta(0) < given * _MS <= most:
         raise ConfigError(f"{what}: deadline_ms is above 0 and not above its class's {most // _MS}")
--- a/hazellead/gearman/inventory.py
+++ b/hazellead/gearman/inventory.py
@@ -194,7 +194,7 @@
         self._seen = self._read = _signature(path)
         self._keep(read(path, names, limits))
         self._listener(api.WorkerList(api.ListKind.CACHED, self._entries()))
-        self._poller = PeriodicCallback(self.look, limits.poll)
+        self._poller = PeriodicCallback(self.look, limits.inventory_poll)
         self._poller.start()
 
     def place(self, worker: int) -> Place | None:
@@ -284,7 +284,7 @@
         if since is None:
             return replace(host.entry, phase=api.Phase.GONE)
         # One that comes when we have long been here has just started: it is cold, and gets less at first.
-        cold = since - self._begun > self._limits.settle
+        cold = since - self._begun > self._limits.worker_return
         return replace(host.entry, started_us=to_us(since - EPOCH) if cold else 0)
 
     def _tell(self) -> None:
--- a/hazellead/gearman/jobs.py
+++ b/hazellead/gearman/jobs.py
@@ -1,8 +1,8 @@
 """Gearman clients' jobs: who waits for each, and which unique keys are live or have lately ended.
 
 The table covers this one process since its start. A live key is never dropped: a second submission joins the
-job. An ended key is kept for ``Limits.remembered_for``, as long as no more than ``Limits.remembered`` keys
-and ``Limits.remembered_bytes`` of results are kept; the oldest go first. A refusal is not kept, since
+job. An ended key is kept for ``Limits.ended_key_ttl``, as long as no more than ``Limits.ended_keys`` keys
+and ``Limits.ended_key_bytes`` of results are kept; the oldest go first. A refusal is not kept, since
 nothing ran. A key that has been dropped, or that another scheduler took, counts as new.
 """
 
@@ -163,9 +163,9 @@
             self._prune()
 
     def _prune(self) -> None:
-        old = self._clock.now() - self._limits.remembered_for
+        old = self._clock.now() - self._limits.ended_key_ttl
         while self._ended and (
-            len(self._ended) > self._limits.remembered or self._bytes > self._limits.remembered_bytes
+            len(self._ended) > self._limits.ended_keys or self._bytes > self._limits.ended_key_bytes
             or next(iter(self._ended.values())).at < old
         ):
             _, gone = self._ended.popitem(last=False)
--- a/hazellead/gearman/server.py
+++ b/hazellead/gearman/server.py
@@ -153,7 +153,7 @@
             stream.close()
             return
         stream.set_nodelay(True)
-        stream.max_write_buffer_size = self.limits.unread
+        stream.max_write_buffer_size = self.limits.write_buffer
         stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
         connection = GearmanConnection(self, stream, str(address[0]))
         self.open[connection] = None
--- a/hazellead/gearman/workers.py
+++ b/hazellead/gearman/workers.py
@@ -150,7 +150,7 @@
             attempt.end(Outcome.FULL)  # turned away unseen
         else:
             waiting.append(attempt)
-            self.loop.add_timeout(self.limits.grab, self._overdue, name, attempt)
+            self.loop.add_timeout(self.limits.grab_job, self._overdue, name, attempt)
             self.wake(name)
 
     def give_up(self, attempt: Attempt) -> None:
--- a/hazellead/lab/capacity/alone.py
+++ b/hazellead/lab/capacity/alone.py
@@ -17,7 +17,7 @@
 from time import thread_time_ns
 from types import BuiltinFunctionType, CodeType, FunctionType, ModuleType
 
-from hazellead.core.clock import span
+from hazellead.core.clock import from_us
 from hazellead.core.jobs import Attempt, Job
 from hazellead.core.scheduler import Scheduler
 from hazellead.decide import interface as api
@@ -169,7 +169,7 @@
 
     def subscribe(self) -> None:
         """Tell the whole list."""
-        self.scheduler.listed(api.WorkerList(api.ListKind.FULL, self._entries))
+        self.scheduler.on_list(api.WorkerList(api.ListKind.FULL, self._entries))
 
     def fetch(self) -> None:
         """Tell the whole list."""
@@ -202,7 +202,8 @@
         slots = rng.choice(shape.gangs.widths) if rng.random() < shape.gangs.part else 1
         job = Job(f"a{self.number}-{self.arrivals}", repr(shape.work.draw(rng)), b"",
                   URGENT if rng.random() < shape.urgent else NORMAL,
-                  rng.choices(range(shape.tenants), self._weights)[0], span(shape.deadline_us), float(slots))
+                  rng.choices(range(shape.tenants), self._weights)[0],
+                  from_us(shape.deadline_us), float(slots))
         self.scheduler.submit(job, _Reply(self.ends))
         self._next()
 
@@ -211,7 +212,7 @@
         ends = dict[str, int]()
         self.arrivals += 1
         job = Job(f"b{self.number}-{self.arrivals}", repr(work_s), b"", NORMAL, tenant,
-                  span(self.shape.deadline_us), float(slots))
+                  from_us(self.shape.deadline_us), float(slots))
         self.scheduler.submit(job, _Reply(ends))
         self.time.run_us(2 * self.scheduler.settings.tick_us)
         return not ends
@@ -229,7 +230,7 @@
                 worker, phase, since = self._rng.randrange(len(self._fleet)) + 1, api.Phase.DRAINING, 0
                 drained.append(worker)
             entry = api.WorkerEntry(worker, worker % self.shape.zones, 0, phase=phase, started_us=since)
-            self.scheduler.listed(api.WorkerList(api.ListKind.CHANGES, (entry,)))
+            self.scheduler.on_list(api.WorkerList(api.ListKind.CHANGES, (entry,)))
             self.time.after(60 / a_minute * US, change)
 
         if a_minute > 0:
@@ -240,7 +241,7 @@
         def change() -> None:
             settings = self.scheduler.settings
             other = replace(settings, max_attempts=5 - settings.max_attempts)
-            self.scheduler.retune(self.scheduler.following(other, *names_of(self.shape)))
+            self.scheduler.apply_generation(self.scheduler.next_generation(other, *names_of(self.shape)))
             self.time.after(60 / a_minute * US, change)
 
         if a_minute > 0:
--- a/hazellead/lab/capacity/virtual_world.py
+++ b/hazellead/lab/capacity/virtual_world.py
@@ -12,7 +12,7 @@
 from time import thread_time_ns
 from typing import Any
 
-from hazellead.core.clock import span
+from hazellead.core.clock import from_us
 from hazellead.core.jobs import Job
 from hazellead.core.scheduler import Scheduler
 from hazellead.decide import interface as api
@@ -286,7 +286,7 @@
         identity = f"{task.identity}.{task.tries}"
         until = task.at_us + self.plan.deadline_us
         self.checker.took(identity, site.name, until)
-        job = Job(identity, repr(task.work_s), b"", task.job_class, task.tenant, span(until - now),
+        job = Job(identity, repr(task.work_s), b"", task.job_class, task.tenant, from_us(until - now),
                   float(task.slots))
         site.scheduler.submit(job, _Answer(task, identity, self))
 
--- a/hazellead/lab/time.py
+++ b/hazellead/lab/time.py
@@ -6,7 +6,7 @@
 from datetime import datetime, timedelta
 from typing import Any, Protocol
 
-from hazellead.core.clock import EPOCH, span, to_us
+from hazellead.core.clock import EPOCH, from_us, to_us
 
 START = datetime.fromisoformat("2026-01-01T00:00:00+00:00")
 
@@ -80,6 +80,6 @@
             if timer.call is None:
                 continue
             if at != self._us:
-                self._us, self._now = at, EPOCH + span(at)
+                self._us, self._now = at, EPOCH + from_us(at)
             timer.call(*timer.args)
-        self._us, self._now = end, EPOCH + span(end)
+        self._us, self._now = end, EPOCH + from_us(end)
--- a/hazellead/lab/world.py
+++ b/hazellead/lab/world.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Any
 
-from hazellead.core.clock import span
+from hazellead.core.clock import from_us
 from hazellead.core.jobs import Attempt, Job
 from hazellead.core.scheduler import Scheduler
 from hazellead.decide import interface as api
@@ -312,7 +312,7 @@
         for e in entries:
             self.world.checker.told(
                 self.name, self.world.models[e.worker].spec.name, is_open=e.phase in _OPEN, at_us=now)
-        self.scheduler.listed(api.WorkerList(kind, entries))
+        self.scheduler.on_list(api.WorkerList(kind, entries))
 
     # Clients.
 
@@ -331,7 +331,7 @@
         identity = f"{client.job.identity}.{client.tries}"
         remaining = client.until_us - now
         self.world.checker.took(identity, self.name, client.until_us)
-        job = Job(identity, repr(client.job.work_s), b"", 0, client.job.tenant, span(remaining))
+        job = Job(identity, repr(client.job.work_s), b"", 0, client.job.tenant, from_us(remaining))
         client.number = self.scheduler.submit(job, _Reply(client, identity))
 
 
--- a/hazellead/lifecycle/machine.py
+++ b/hazellead/lifecycle/machine.py
@@ -39,7 +39,7 @@
 
     def quiesce(self, now: datetime) -> bool:
         """Begin to empty the scheduler."""
-        return self.phase is Phase.READY and self._enter(Phase.QUIESCED, now, now + self._limits.drain_take)
+        return self.phase is Phase.READY and self._enter(Phase.QUIESCED, now, now + self._limits.drain_accept)
 
     def resume(self, now: datetime) -> bool:
         """Go back to work."""
@@ -63,7 +63,7 @@
         """Begin to end: jobs are taken on for a while, unless a quiesce has said otherwise."""
         if self.phase is Phase.ENDING:
             return False
-        until = now + self._limits.serve_on
+        until = now + self._limits.shutdown_accept
         return self._enter(Phase.ENDING, now, min(until, self._until or until))
 
     @property
--- a/hazellead/lifecycle/passing.py
+++ b/hazellead/lifecycle/passing.py
@@ -13,9 +13,9 @@
 from datetime import timedelta
 from typing import Any, Generic, TypeVar
 
-from hazellead.core.clock import span, to_us
+from hazellead.core.clock import from_us, to_us
 from hazellead.core.jobs import Job
-from hazellead.core.passing import OpenAttempt, OpenJob
+from hazellead.core.migration import OpenAttempt, OpenJob
 from hazellead.decide import interface as api
 from hazellead.lifecycle.messages import MessageError
 
@@ -114,7 +114,7 @@
 def _span(value: Any) -> timedelta:
     if isinstance(value, bool) or not isinstance(value, int) or not -MOST_US <= value <= MOST_US:
         raise ValueError("no span")
-    return span(value)
+    return from_us(value)
 
 
 class Batches(Generic[T]):
--- a/hazellead/net/server.py
+++ b/hazellead/net/server.py
@@ -140,7 +140,7 @@
         # Guards against a client that floods and goes: its leaving shows only behind all that it sent. What
         # is dropped crosses the close after this answer.
         self.closing, self._dropped = True, self._dropped + len(data)
-        if self._dropped > self._server.limits.behind:
+        if self._dropped > self._server.limits.pipelined:
             exchange, self.exchange = self.exchange, None  # it is ended as any that takes no answer
             if exchange and exchange.on_gone:
                 exchange.on_gone()
@@ -251,7 +251,7 @@
         if self.state is State.LINGERING:
             return limits.linger
         if self._stream.writing():
-            return limits.client_take
+            return limits.client_write
         return limits.client_idle if self.state is State.RESTING else limits.client_read
 
     def close_when_idle(self) -> None:
--- a/hazellead/peers/service.py
+++ b/hazellead/peers/service.py
@@ -9,7 +9,7 @@
 import structlog
 from tornado.ioloop import IOLoop, PeriodicCallback
 
-from hazellead.core.clock import Clock, span
+from hazellead.core.clock import Clock, from_us
 from hazellead.learning.door import Names
 from hazellead.learning.pupil import Learner, Pupil
 from hazellead.peers.config import PeersConfig
@@ -157,7 +157,7 @@
         loop = IOLoop.current()
         if self._timer is not None:
             loop.remove_timeout(self._timer)
-        wait = span(self.node.due() - self._clock.now_us())
+        wait = from_us(self.node.due() - self._clock.now_us())
         self._timer = loop.add_timeout(max(wait, LEAST_PAUSE), self._tick)
 
     def _tick(self) -> None:
--- a/hazellead/platform/clients.py
+++ b/hazellead/platform/clients.py
@@ -9,7 +9,7 @@
 
 import structlog
 
-from hazellead.core.clock import span
+from hazellead.core.clock import from_us
 from hazellead.core.jobs import Job
 from hazellead.core.scheduler import Scheduler
 from hazellead.net.server import Exchange
@@ -121,15 +121,15 @@
         identity = headers.get("x-trace-id", "")
         if not _ID.match(identity):
             raise BadRequestError(400, "X-Trace-Id is missing or malformed")
-        if self._scheduler.has_taken(identity):
+        if self._scheduler.has_seen(identity):
             raise BadRequestError(409, "X-Trace-Id has been used")
         tenant = place(self.names.tenants, headers.get("x-customer", "")) if self.names.tenants else 0
         if tenant < 0:
             raise BadRequestError(400, "X-Customer is missing or unknown")
-        job_class = self._scheduler.generation.classes[at]
-        tenant = self._scheduler.generation.tenants[tenant] if self.names.tenants else 0
+        job_class = self._scheduler.generation.class_ids[at]
+        tenant = self._scheduler.generation.tenant_ids[tenant] if self.names.tenants else 0
         given = headers.get("x-expires-in")
-        deadline = span(self._scheduler.settings.classes[job_class].deadline_us)
+        deadline = from_us(self._scheduler.settings.classes[job_class].deadline_us)
         remaining = deadline if given is None else parse_span(given)
         if remaining is None:
             raise BadRequestError(400, "X-Expires-In is malformed")
--- a/hazellead/platform/config.py
+++ b/hazellead/platform/config.py
@@ -9,7 +9,7 @@
 from pathlib import Path
 from typing import Any
 
-from hazellead.core.clock import span, to_us
+from hazellead.core.clock import from_us, to_us
 from hazellead.decide.interface import Settings
 from hazellead.limits import Limits
 from hazellead.sim import wire
@@ -85,7 +85,7 @@
 
 def fixed(given: Config, new: Config) -> list[str]:
     """Name what a new configuration changes that counts from the next start only."""
-    limits = new.limits.paced_as(given.limits)
+    limits = new.limits.with_settings_times(given.limits)
     kept = [what for what in ("name", "listen", "console") if getattr(given, what) != getattr(new, what)]
     return kept + ["limits"] * (limits != given.limits)
 
@@ -159,11 +159,12 @@
         held = int(float(table.get("caps.mostHeld", "0"))) or sockets
     except ValueError:
         raise ConfigError("settings: bad setting: caps.mostHeld") from None
-    connect, idle = span(settings.connect_timeout_us), span(settings.conn_idle_us)
-    longest = span(max(c.deadline_us for c in settings.classes))
+    connect, idle = from_us(settings.connect_timeout_us), from_us(settings.conn_idle_us)
+    longest = from_us(max(c.deadline_us for c in settings.classes))
     return Limits.fit(
-        sockets, memory_mb, held, connect, idle, longest=longest, most_wait=span(settings.max_retry_after_us),
-        drain_grace=span(settings.drain_grace_us), gearman=gearman, console=console)
+        sockets, memory_mb, held, connect, idle, longest=longest,
+        most_wait=from_us(settings.max_retry_after_us),
+        drain_grace=from_us(settings.drain_grace_us), gearman=gearman, console=console)
 
 
 def load(environment: Mapping[str, str] = os.environ) -> Config:
--- a/hazellead/platform/discovery.py
+++ b/hazellead/platform/discovery.py
@@ -300,7 +300,7 @@
         the call after the one that opened a watch may have to wait for a turn. Where nothing comes at all the
         watch was broken, and may have missed changes.
         """
-        span = self._limits.late_answer if call.live else self._limits.longest_turn
+        span = self._limits.late_answer if call.live else self._limits.queue_wait_max
         try:
             await asyncio.wait([asking], timeout=span.total_seconds())
             failure = asking.exception() if asking.done() else TimeoutError()
@@ -334,7 +334,7 @@
         live = source.call is not None and source.call.continues_watch
         if self._pushed and live:
             return  # the agent has answered until now: each moment without a watch counts
-        pause = min(self._limits.retry * source.failures, self._limits.retry_most)
+        pause = min(self._limits.retry * source.failures, self._limits.retry_max)
         await asyncio.sleep(pause.total_seconds() * (0.5 + self._rng.random() / 2))
 
     def _weigh(self, source: _Source, error: Exception) -> None:
@@ -352,7 +352,7 @@
             self._first_list.set()
         elif isinstance(error, TimeoutError):
             pass  # a connection that never came up: nothing is proven
-        elif now - call.made <= limits.connect + limits.stall and not call.live:
+        elif now - call.made <= limits.connect + limits.process_stall and not call.live:
             if isinstance(error, RefusedError):
                 self._lease.refused_at_once()
         elif not call.continues_watch:
@@ -368,7 +368,7 @@
         The next call still comes within the 200 ms for which the watch goes on.
         """
         if source.call and source.call.follows_answer:
-            rest = self._limits.watch_pace - (self._clock.now() - source.call.made)
+            rest = self._limits.watch_interval - (self._clock.now() - source.call.made)
             if rest > timedelta(0):
                 await asyncio.sleep(rest.total_seconds())
 
@@ -407,7 +407,7 @@
             source.connection = await self._connect(source.address, limits)
         assert source.connection
         if follows and (open_still or not self._pushed):
-            wait = limits.watch_least + (limits.watch_most - limits.watch_least) * self._rng.random()
+            wait = limits.watch_min + (limits.watch_max - limits.watch_min) * self._rng.random()
             span = wait + limits.watch_grace
         else:
             wait, span = streams.MS, limits.fetch * 2 ** min(max(0, source.unanswered - 1), _PATIENCE)
@@ -460,7 +460,7 @@
         if given.version >= source.version:
             return
         source.older = source.older or self._clock.now()
-        if self._clock.now() - source.older < self._limits.older:
+        if self._clock.now() - source.older < self._limits.older_list_wait:
             raise ListError(f"older than the list held ({given.version} < {source.version})")
 
     def _apply(self, given: ServerList, *, cached: bool = False) -> None:
--- a/hazellead/platform/handover.py
+++ b/hazellead/platform/handover.py
@@ -12,7 +12,7 @@
 import structlog
 
 from hazellead.core.clock import Clock
-from hazellead.core.passing import Passing, UnknownError
+from hazellead.core.migration import JobMigration, MigrationRefusedError
 from hazellead.core.scheduler import Scheduler
 from hazellead.lifecycle import state
 from hazellead.lifecycle.handover import STEPS, HandoverError, HandoverSource, HandoverTarget
@@ -83,7 +83,7 @@
         assert given.handover
         self._life, self._clock, self._scheduler, self._server = life, clock, scheduler, server
         self._workers, self._watch, self._front = workers, watch, front
-        self._passing = Passing(scheduler, workers, clock, watch.name, self._reachable)
+        self._passing = JobMigration(scheduler, workers, clock, watch.name, self._reachable)
         self._parked, self._offered = Batches[_Parked](), Batches[_Offered]()
         self._parted: set[str] = set()  # ids of jobs that the process after this one has taken over
         self._refused: set[int] = set()  # numbers of those that it could not
@@ -135,7 +135,7 @@
     def _names(self) -> tuple[list[str], list[str]]:
         """Return classes' and tenants' names by number; a class that went has none."""
         now = self._scheduler.generation
-        classes = [name if n in now.classes else "" for n, (name, _) in enumerate(now.rows)]
+        classes = [name if n in now.class_ids else "" for n, (name, _) in enumerate(now.class_rows)]
         return classes, [name for name, _ in now.tenant_rows]
 
     # As the one that is replaced.
@@ -162,7 +162,7 @@
 
     def take_back(self) -> None:
         """Accept again."""
-        self._scheduler.passes_on = False
+        self._scheduler.migrates_jobs = False
         self._life.take_back(self._clock.now())
         self._server.add_sockets(self._kept)
         self._kept = []
@@ -175,14 +175,14 @@
 
     def holds(self) -> Holds:
         """Return what is still open here."""
-        attempts = {self._watch.name(worker): out for worker, out in self._scheduler.out().items()}
+        attempts = {self._watch.name(worker): out for worker, out in self._scheduler.open_attempts().items()}
         known, self._told = self._told, self._scheduler.open_identities
         return Holds(len(self._server.connections), self._workers.pool.count(), attempts,
                      list(self._told - known))
 
     def successor_takes(self) -> None:
         """Leave jobs that outlast this process their time."""
-        self._scheduler.passes_on = True
+        self._scheduler.migrates_jobs = True
 
     def end_by(self, end: datetime) -> None:
         """Pass on from now on what would not be answered by then."""
@@ -222,13 +222,13 @@
         """Go on with a parked job, on the connection that was to go with it."""
         if connection:
             self.adopt(connection)
-        self._passing.go_on(number)
+        self._passing.resume(number)
 
     def passed(self, identities: Sequence[str], *, refused: bool) -> None:
         """Forget these of the parked jobs, which the other process now has, and go on with the others."""
         gone, stay = self._parked.settle(self._parked.number, identities)
         for job in gone:
-            self._passing.part(job.number)
+            self._passing.forget(job.number)
             self._parted.add(job.identity)
             job.sock.close()
         for job in stay:
@@ -282,7 +282,7 @@
             return "no room for its connection"
         try:
             self._passing.check(given.job, more)
-        except UnknownError as error:
+        except MigrationRefusedError as error:
             return str(error)
         return ""
 
@@ -296,8 +296,8 @@
             exchange = Exchange(Message(first, {}, b"", job.given.keep))
             passed = self._clock.now() - job.came
             try:
-                number_here = self._passing.take(job.given.job, Reply(exchange), passed)
-            except UnknownError as error:  # settings have changed since it was offered
+                number_here = self._passing.take_over(job.given.job, Reply(exchange), passed)
+            except MigrationRefusedError as error:  # settings have changed since it was offered
                 log.error("job_lost", job=job.identity, reason=str(error))
                 job.sock.close()
                 continue
@@ -360,7 +360,7 @@
         """Leave room for what the other process still has open: the bounds hold for both together."""
         self._server.elsewhere, self._workers.pool.elsewhere = holds.clients, holds.workers
         known = ((self._watch.number(uid), out) for uid, out in holds.attempts.items())
-        self._scheduler.elsewhere({number: out for number, out in known if number is not None})
+        self._scheduler.set_attempts_elsewhere({number: out for number, out in known if number is not None})
         self._scheduler.remember(holds.taken)
 
 
--- a/hazellead/platform/workers.py
+++ b/hazellead/platform/workers.py
@@ -199,11 +199,11 @@
 
     # Attempts that go from one process of a scheduler to the next.
 
-    def taken(self, attempt: Attempt) -> bool:
+    def accepted_by_worker(self, attempt: Attempt) -> bool:
         """Say whether its 202 has come, so that all that is still to come of it are call-backs."""
         return attempt not in self.tasks and attempt.outcome is None
 
-    def leave(self, attempt: Attempt) -> None:
+    def detach(self, attempt: Attempt) -> None:
         """Wait no longer for one that another process now owns."""
         if place := self._places.place(attempt.worker):
             self._out.pop((attempt.job.identity, place.uid), None)
@@ -214,13 +214,13 @@
         assert place
         key = (attempt.job.identity, place.uid)
         if attempt.outcome is None:
-            attempt.heard, self._out[key] = True, attempt
+            attempt.reported, self._out[key] = True, attempt
         elif attempt.outcome is Outcome.FULL:
             self._hand_back(key)
 
     def _hand_back(self, key: tuple[str, str]) -> None:
         self._returned[key] = None
-        if len(self._returned) > self._limits.returned:
+        if len(self._returned) > self._limits.returned_jobs:
             self._returned.popitem(last=False)
 
     def probe(self, worker: int, done: Callable[[Outcome], None]) -> None:
@@ -241,7 +241,7 @@
         attempt = self._out.get((identity, sender))
         if attempt is None or attempt.outcome:
             return
-        attempt.heard = True
+        attempt.reported = True
         if state == "started":
             attempt.began()
         elif state == "running":
@@ -316,9 +316,9 @@
         reading = asyncio.ensure_future(connection.response(self._limits))
         try:
             await asyncio.wait([reading], timeout=self._limits.accept.total_seconds())
-            if reading.done() or not attempt.heard:
+            if reading.done() or not attempt.reported:
                 return await streams.within(timedelta(0), reading)
-            return await streams.within(attempt.until - self._clock.now() + self._limits.give_up, reading)
+            return await streams.within(attempt.until - self._clock.now() + self._limits.cancel, reading)
         except asyncio.CancelledError:
             # Guards against an attempt that goes on: its 202 had come, and to close gives it up no more.
             if reading.done() and not reading.cancelled() and not reading.exception():
@@ -328,7 +328,7 @@
             reading.cancel()
 
     async def _delete(self, place: Place, identity: str) -> None:
-        await self._ask(place, "DELETE", f"/jobs/{identity}", self._limits.give_up)
+        await self._ask(place, "DELETE", f"/jobs/{identity}", self._limits.cancel)
 
     async def _probe(self, worker: int, done: Callable[[Outcome], None]) -> None:
         place = self._places.place(worker)
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -60,7 +60,7 @@
         timers: Any = Timers(loop)
         self.scheduler = Scheduler(settings, self.seed, LIMITS, self.clock, timers)
         self.watch = Watch(
-            self.address, NAMES, LIMITS, self.known, self.scheduler.listed, self.seed,
+            self.address, NAMES, LIMITS, self.known, self.scheduler.on_list, self.seed,
             pushed=self.fleet.pushed, clock=self.clock, connect=self.fleet.network.connector(self))
         transport: Any = _NoTransport()
         self.scheduler.connect(transport, self.watch)
--- a/tests/test_capacity_hollow.py
+++ b/tests/test_capacity_hollow.py
@@ -234,7 +234,7 @@
     alone.come()
     alone.time.run_us(5 * US)
     drained = api.WorkerEntry(3, 3, 0, phase=api.Phase.DRAINING)
-    alone.scheduler.listed(api.WorkerList(api.ListKind.CHANGES, (drained,)))
+    alone.scheduler.on_list(api.WorkerList(api.ListKind.CHANGES, (drained,)))
     before = {key for key, a in alone.running.items() if a.worker == 3}
     alone.time.run_us(10 * US)
     assert {key for key, a in alone.running.items() if a.worker == 3} <= before
@@ -253,4 +253,5 @@
     heard = sum(site.meter.counts.get("JobBegan", 0) for site in world.sites)
     assert 2 * running < heard < 6 * running + 10
     world.time.run_us(30 * US)
-    assert world.checker.close(world.time.now_us()) == [] and not any(s.scheduler.held for s in world.sites)
+    assert world.checker.close(world.time.now_us()) == [] and not any(
+        s.scheduler.unanswered for s in world.sites)
--- a/tests/test_gearman_front.py
+++ b/tests/test_gearman_front.py
@@ -142,7 +142,7 @@
         count: Counter[bytes] = Counter()
         worker = GearmanWorker("post-1", count)
         worker.awake.clear()  # it does not ask when it is woken
-        async with scheduler(tmp_path, ONE, grab=timedelta(seconds=5)) as s, workers(s.port, worker):
+        async with scheduler(tmp_path, ONE, grab_job=timedelta(seconds=5)) as s, workers(s.port, worker):
             client = await GearmanPeer.connect(s.port)
             await submit(client, b"a", unique)
             assert s.program.gearman
@@ -153,9 +153,9 @@
                 await client.expect(Type.ERROR)
             else:
                 client.close()
-            await until(lambda: not s.program.scheduler.held or not chosen["post-1"][0].may_send())
+            await until(lambda: not s.program.scheduler.unanswered or not chosen["post-1"][0].may_send())
             worker.awake.set()
-            await until(lambda: not s.program.scheduler.held)
+            await until(lambda: not s.program.scheduler.unanswered)
             await asyncio.sleep(0.05)
             assert not count
             again = await GearmanPeer.connect(s.port)  # one that comes back starts anew: nothing has run
@@ -252,7 +252,7 @@
                 await first.call_back(first.headers[-1]["x-trace-id"], state="returned")
                 if back:
                     assert (await client.expect(*FINAL)).args[1:] == (b"posted a",)
-                await until(lambda: not s.program.scheduler.held)
+                await until(lambda: not s.program.scheduler.unanswered)
                 await asyncio.sleep(0.2)
                 assert count[b"a"] == (2 if back else 1)
 
@@ -269,7 +269,7 @@
             await submit(client, b"a")
             await chosen(s)
             s.rewrite(ONE.replace("up", "draining"))
-            await until(lambda: not s.program.scheduler.knows_workers)
+            await until(lambda: not s.program.scheduler.has_available_workers)
             worker.awake.set()
             final = await client.expect(*FINAL)
             assert final.type == Type.WORK_FAIL and not count
@@ -363,7 +363,7 @@
         async with scheduler(tmp_path, TWO) as s:
             fleet = [asyncio.ensure_future(again(GearmanWorker(f"post-{i}", count, slow), s.port))
                      for i in (1, 2)]
-            await until(lambda: s.program.scheduler.knows_workers)
+            await until(lambda: s.program.scheduler.has_available_workers)
 
             async def burst(number: int) -> None:
                 client = await GearmanPeer.connect(s.port)
@@ -425,7 +425,7 @@
             await complete(peer, handle, workload)
 
         serve_on = timedelta(seconds=0.3)  # after the end was called
-        async with scheduler(tmp_path, ONE, serve_on=serve_on) as s, workers(
+        async with scheduler(tmp_path, ONE, shutdown_accept=serve_on) as s, workers(
                 s.port, GearmanWorker("post-1", count, act)):
             client = await GearmanPeer.connect(s.port)
             handle = await submit(client, b"a")
@@ -514,7 +514,7 @@
             await go.wait()
             await complete(peer, handle, workload)
 
-        quick = {"drain_settle": timedelta(milliseconds=50), "drain_take": timedelta(milliseconds=200)}
+        quick = {"drain_settle": timedelta(milliseconds=50), "drain_accept": timedelta(milliseconds=200)}
         worker = GearmanWorker("post-1", count, act)
         async with scheduler(tmp_path, ONE, **quick) as s, workers(s.port, worker):
             await s.program.start()
--- a/tests/test_gearman_parts.py
+++ b/tests/test_gearman_parts.py
@@ -66,7 +66,7 @@
 class Keys(RuleBasedStateMachine):
     """Submissions, ends and time against the table of unique keys."""
 
-    limits = Limits(remembered=2, remembered_bytes=100, remembered_for=timedelta(seconds=10))
+    limits = Limits(ended_keys=2, ended_key_bytes=100, ended_key_ttl=timedelta(seconds=10))
 
     def __init__(self) -> None:
         super().__init__()
@@ -111,8 +111,8 @@
 
     def kept(self) -> list[tuple[bytes, Ticket, Any, int]]:
         while self.ended and (
-            len(self.ended) > self.limits.remembered or sum(e[3] for e in self.ended) > 100
-            or self.time.now() - self.ended[0][2] > self.limits.remembered_for
+            len(self.ended) > self.limits.ended_keys or sum(e[3] for e in self.ended) > 100
+            or self.time.now() - self.ended[0][2] > self.limits.ended_key_ttl
         ):
             self.ended.pop(0)
         return self.ended
@@ -302,7 +302,7 @@
     async def case() -> None:
         path, told, time = tmp_path / "i.csv", list[api.WorkerList](), VirtualTime()
         path.write_text("name,state\na,up\nb,up\n")
-        kept = inventory.Inventory(path, NAMES, Limits(poll=timedelta(hours=1)), time,  # type: ignore[arg-type]
+        kept = inventory.Inventory(path, NAMES, Limits(inventory_poll=timedelta(hours=1)), time,  # type: ignore[arg-type]
                                    told.append, lambda: None)
 
         def phases() -> list[Phase]:
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -30,7 +30,7 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.now = generations.first(
+        self.now = generations.initial(
             api.Settings((KINDS[0],), (api.Tenant(0.5, 10),), max_attempts=3), ["post"], ["a"])
         self.names, self.open = ["post"], list[tuple[int, int, api.JobClass, int]]()
         self.module = Dispatcher(self.now.settings, 1)
@@ -39,11 +39,11 @@
     @rule(at=st.integers(0, 9))
     def job(self, at: int) -> None:
         at %= len(self.names)
-        number = self.now.classes[at]
-        self.open.append((number, self.now.tenants[0], self.now.settings.classes[number],
+        number = self.now.class_ids[at]
+        self.open.append((number, self.now.tenant_ids[0], self.now.settings.classes[number],
                           self.now.settings.attempts(number)))
         self.clock += 4000
-        self.module.handle(self.clock, [api.Arrival(len(self.open), number, 900_000, self.now.tenants[0])])
+        self.module.handle(self.clock, [api.Arrival(len(self.open), number, 900_000, self.now.tenant_ids[0])])
 
     @rule(at=st.integers(0, 9))
     def ended(self, at: int) -> None:
@@ -57,18 +57,18 @@
         before = self.now
         settings = api.Settings(tuple(kinds[:len(names)]), tuple(api.Tenant(0.5, 10) for _ in tenants),
                                 max_attempts=most)
-        self.now = generations.follow(before, settings, names, tenants, {n for n, *_ in self.open},
+        self.now = generations.next_after(before, settings, names, tenants, {n for n, *_ in self.open},
                                       {t for _, t, *_ in self.open})
         self.names = names
         assert self.now.number == before.number + 1
-        for name, kind, number in zip(names, kinds, self.now.classes, strict=False):
+        for name, kind, number in zip(names, kinds, self.now.class_ids, strict=False):
             rules = self.now.settings.classes[number]
-            assert self.now.rows[number][0] == name and self.now.settings.attempts(number) == most
+            assert self.now.class_rows[number][0] == name and self.now.settings.attempts(number) == most
             assert replace(rules, max_attempts=0, alone=False) == kind
             assert (number in self.now.fresh) == (
-                number >= len(before.rows) or before.rows[number] != self.now.rows[number])
-        assert len(set(self.now.classes)) == len(names) and len(set(self.now.tenants)) == len(tenants)
-        for name, number in zip(tenants, self.now.tenants, strict=True):
+                number >= len(before.class_rows) or before.class_rows[number] != self.now.class_rows[number])
+        assert len(set(self.now.class_ids)) == len(names) and len(set(self.now.tenant_ids)) == len(tenants)
+        for name, number in zip(tenants, self.now.tenant_ids, strict=True):
             assert self.now.tenant_rows[number][0] == name
         self.clock += 4000
         self.module.handle(self.clock, [api.Retuned(self.now.settings, self.now.fresh)])
@@ -81,7 +81,7 @@
             assert self.now.settings.tenants[tenant].portion == 0.5
         shares = [t.share for t in self.module.tenants]
         assert len(shares) == len(self.now.tenant_rows) and abs(sum(shares) - 1) < 1e-9 and min(shares) > 0
-        assert len(self.module.run_us) == len(self.now.rows)
+        assert len(self.module.run_us) == len(self.now.class_rows)
 
 
 Numbers.TestCase.settings = STEADY
@@ -90,13 +90,13 @@
 
 def test_an_open_job_keeps_its_attempts_and_effect_while_a_new_one_has_its_own() -> None:
     safe = api.JobClass(100_000, 5_000_000, api.Effect.SAFE)
-    held = generations.first(api.Settings((safe,), max_attempts=3), ["post"])
+    held = generations.initial(api.Settings((safe,), max_attempts=3), ["post"])
     module = Dispatcher(held.settings, 1)
     first = pushes(module.handle(0, [fleet(8), api.Arrival(1, 0, 5_000_000)]))
     assert len(first) == 1
     once = api.Settings((replace(safe, effect=api.Effect.UNSAFE),), max_attempts=1)
-    now = generations.follow(held, once, ["post"], [], {0}, {0})
-    assert now.classes == (1,) and now.settings.classes[0].effect is api.Effect.SAFE
+    now = generations.next_after(held, once, ["post"], [], {0}, {0})
+    assert now.class_ids == (1,) and now.settings.classes[0].effect is api.Effect.SAFE
     second = pushes(module.handle(4000, [api.Retuned(now.settings, now.fresh), api.Arrival(2, 1, 5_000_000)]))
     assert [p.request for p in second] == [2]
     reset = api.Outcome.RESET
@@ -107,7 +107,7 @@
 
 
 def test_what_was_learned_stays_and_a_new_class_starts_from_it() -> None:
-    held = generations.first(api.Settings((KINDS[2],), max_attempts=3), ["post"])
+    held = generations.initial(api.Settings((KINDS[2],), max_attempts=3), ["post"])
     module = Dispatcher(held.settings, 1)
     module.handle(0, [fleet(4)])
     for i in range(40):
@@ -118,19 +118,20 @@
             api.AttemptEnded(i, 0, push.worker, api.Outcome.SERVED, 304_000, True)])
     assert module.run_us[0] > 250_000
     settings = api.Settings((KINDS[2], KINDS[5]), max_attempts=2)
-    now = generations.follow(held, settings, ["post", "v2"], [], (), ())
+    now = generations.next_after(held, settings, ["post", "v2"], [], (), ())
     module.handle(17_000_000, [api.Retuned(now.settings, now.fresh)])
-    assert now.fresh and module.run_us[now.classes[1]] == module.mean_run > 250_000
+    assert now.fresh and module.run_us[now.class_ids[1]] == module.mean_run > 250_000
 
 
 def test_too_many_names_are_refused_and_numbers_are_used_again() -> None:
-    now = generations.first(api.Settings((KINDS[0],), max_attempts=1), ["0"], [])
+    now = generations.initial(api.Settings((KINDS[0],), max_attempts=1), ["0"], [])
     for i in range(1, 600):
-        now = generations.follow(now, api.Settings((KINDS[0],), max_attempts=1), [str(i)], [], (), ())
-    assert len(now.rows) == 1
+        now = generations.next_after(now, api.Settings((KINDS[0],), max_attempts=1), [str(i)], [], (), ())
+    assert len(now.class_rows) == 1
     with pytest.raises(generations.TooManyError):
         for i in range(600):
-            now = generations.follow(now, api.Settings((KINDS[0],), (api.Tenant(),)), ["0"], [str(i)], (), ())
+            now = generations.next_after(
+                now, api.Settings((KINDS[0],), (api.Tenant(),)), ["0"], [str(i)], (), ())
 
 
 def changed(**parts: Any) -> dict[str, Any]:
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -15,7 +15,7 @@
 from hazellead.net import http
 
 SETTLE, TAKE, SERVE = (timedelta(milliseconds=ms) for ms in (500, 1800, 2500))
-LIMITS = Limits(drain_settle=SETTLE, drain_take=TAKE, serve_on=SERVE)
+LIMITS = Limits(drain_settle=SETTLE, drain_accept=TAKE, shutdown_accept=SERVE)
 
 
 class Life(RuleBasedStateMachine):
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -21,9 +21,9 @@
 from test_program import SETTINGS, program
 
 from hazellead.core import generations
-from hazellead.core.clock import span
+from hazellead.core.clock import from_us
 from hazellead.core.jobs import Job
-from hazellead.core.passing import OpenAttempt, OpenJob
+from hazellead.core.migration import OpenAttempt, OpenJob
 from hazellead.decide import interface as api
 from hazellead.lifecycle import channel
 from hazellead.lifecycle.channel import Channel
@@ -403,9 +403,9 @@
 def passed(identity: str, worker: str = "s-0", **more: Any) -> dict[str, Any]:
     rules = {"aim_us": 100_000, "deadline_us": LONG, "effect": "unsafe"}
     kind = api.JobClass(**(rules | {"effect": api.Effect.UNSAFE}))
-    job = Job(identity, f"/{KIND}", b"body", 0, 0, span(LONG), function=KIND, class_name=KIND)
-    attempts = (OpenAttempt(worker, span(5000), span(LONG), None, None),)
-    return PassedJob(OpenJob(job, kind, TENANTS[0], span(LONG), attempts), b"", True, True).body() | more
+    job = Job(identity, f"/{KIND}", b"body", 0, 0, from_us(LONG), function=KIND, class_name=KIND)
+    attempts = (OpenAttempt(worker, from_us(5000), from_us(LONG), None, None),)
+    return PassedJob(OpenJob(job, kind, TENANTS[0], from_us(LONG), attempts), b"", True, True).body() | more
 
 
 @site_test
@@ -497,18 +497,18 @@
 
 
 def test_a_class_and_a_tenant_of_other_settings_are_numbered_apart_and_listed_nowhere() -> None:
-    held = generations.first(BASE, ["one"], ["x", "y"])
-    same, *numbers = generations.keep(held, held.rows[0], "y")
+    held = generations.initial(BASE, ["one"], ["x", "y"])
+    same, *numbers = generations.including(held, held.class_rows[0], "y")
     assert same is held and numbers == [0, 1]
     rules = api.JobClass(1, 2, api.Effect.KEYED, max_attempts=2)
-    kept, job_class, tenant = generations.keep(held, ("one", rules), "gone")
+    kept, job_class, tenant = generations.including(held, ("one", rules), "gone")
     assert kept.settings.classes[job_class] == rules and kept.fresh == {job_class}
-    assert job_class not in kept.classes
-    assert kept.settings.tenants[tenant].portion == generations.GONE and tenant not in kept.tenants
-    assert kept.rows[:1] == held.rows[:1] and kept.number == held.number
+    assert job_class not in kept.class_ids
+    assert kept.settings.tenants[tenant].portion == generations.GONE_PORTION and tenant not in kept.tenant_ids
+    assert kept.class_rows[:1] == held.class_rows[:1] and kept.number == held.number
     with pytest.raises(generations.TooManyError):
-        for i in range(generations.MOST):
-            kept, _, _ = generations.keep(kept, (f"k{i}", rules), "x")
+        for i in range(generations.MAX_NUMBERS):
+            kept, _, _ = generations.including(kept, (f"k{i}", rules), "x")
 
 
 def _adopted(effect: api.Effect, *made: api.Made) -> Referee:
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -72,7 +72,7 @@
 
     def tell(self) -> None:
         entries = tuple(api.WorkerEntry(w, phase=p) for w, p in self.phases.items())
-        self.scheduler.listed(api.WorkerList(api.ListKind.FULL, entries))
+        self.scheduler.on_list(api.WorkerList(api.ListKind.FULL, entries))
 
     @rule(target=submitted, tenant=st.integers(0, 1), left=st.sampled_from([50, 900, 1000]))
     def submit(self, tenant: int, left: int) -> int:
@@ -114,7 +114,7 @@
     @invariant()
     def all_is_answered_by_the_end_that_was_called(self) -> None:
         if self.end and self.time.now() >= self.end:
-            assert not self.scheduler.held and all(
+            assert not self.scheduler.unanswered and all(
                 r.final for n, r in self.replies.items() if n not in self.left)
 
     def teardown(self) -> None:
@@ -152,7 +152,7 @@
     site = replace(SITE, classes=classes, may_duplicate=effect is not api.Effect.UNSAFE)
     scheduler = Scheduler(site, 7, Limits(requests=2), time, time)  # type: ignore[arg-type]
     scheduler.connect(worker, worker)
-    scheduler.listed(api.WorkerList(api.ListKind.FULL, (api.WorkerEntry(1), api.WorkerEntry(2))))
+    scheduler.on_list(api.WorkerList(api.ListKind.FULL, (api.WorkerEntry(1), api.WorkerEntry(2))))
     return time, worker, scheduler
 
 
@@ -211,14 +211,14 @@
     sent, waiting = Answers(), Answers()
     scheduler.submit(job("a"), sent)
     time.run(10 * MS)
-    scheduler.listed(api.WorkerList(api.ListKind.FULL))
+    scheduler.on_list(api.WorkerList(api.ListKind.FULL))
     scheduler.submit(job("b"), waiting)
     scheduler.end_by(time.now() + 50 * MS)
     time.run(49 * MS)
     assert not sent.final and [a.job.identity for a in worker.sent] == ["a"]
     time.run(2 * MS)
     assert sent.final == ["failed"] and waiting.final == ["refused"]
-    assert worker.given_up == worker.sent and not scheduler.held
+    assert worker.given_up == worker.sent and not scheduler.unanswered
 
 
 def test_a_full_table_refuses_and_a_deadline_is_answered_before_the_client_gives_up() -> None:
@@ -240,12 +240,12 @@
     scheduler._dispatcher.handle = broken  # type: ignore[method-assign]
     scheduler.submit(job("a"), reply := Answers())
     time.run(999 * MS)
-    assert reply.final == ["failed"] and not scheduler.held
+    assert reply.final == ["failed"] and not scheduler.unanswered
 
 
 def test_what_the_module_gives_up_on_is_answered_in_the_same_step() -> None:
     time, _, scheduler = started()
-    scheduler.listed(api.WorkerList(api.ListKind.FULL))
+    scheduler.on_list(api.WorkerList(api.ListKind.FULL))
     reply = Answers()
     scheduler.submit(job("a"), reply)
     refused_at = None
@@ -264,7 +264,7 @@
     time.run(20 * MS)
     assert not worker.sent and not reply.final
     worker.expired = False
-    scheduler.listed(api.WorkerList(api.ListKind.CHANGES))  # an answer without news
+    scheduler.on_list(api.WorkerList(api.ListKind.CHANGES))  # an answer without news
     time.run(20 * MS)
     assert [a.job.identity for a in worker.sent] == ["a"]
 
@@ -304,7 +304,7 @@
             scheduler.submit(job(identity), Answers())
             time.run(50 * MS)
         worker.expired = False
-        scheduler.listed(api.WorkerList(api.ListKind.CHANGES))
+        scheduler.on_list(api.WorkerList(api.ListKind.CHANGES))
         time.run(50 * MS)
     lines = [line["event"] for line in logs if line["event"].startswith("server_list")]
     assert lines == ["server_list_expired", "server_list_renewed"]
@@ -319,18 +319,18 @@
         (api.ListKind.CHANGES, (api.WorkerEntry(1, phase=api.Phase.GONE),)),
         (api.ListKind.FULL, (api.WorkerEntry(2),)),
     ):
-        scheduler.listed(api.WorkerList(kind, entries))
+        scheduler.on_list(api.WorkerList(kind, entries))
         assert not scheduler.may_send_to(1) and scheduler.may_send_to(2)
-    scheduler.listed(api.WorkerList(api.ListKind.CHANGES, (api.WorkerEntry(1, started_us=7),)))
+    scheduler.on_list(api.WorkerList(api.ListKind.CHANGES, (api.WorkerEntry(1, started_us=7),)))
     assert scheduler.may_send_to(1)
 
 
 def test_a_drain_told_while_a_job_is_held_keeps_it_from_that_server() -> None:
     time, worker, scheduler = started()
-    scheduler.listed(api.WorkerList(api.ListKind.FULL))
+    scheduler.on_list(api.WorkerList(api.ListKind.FULL))
     scheduler.submit(job("a"), Answers())
     time.run(20 * MS)
-    scheduler.listed(api.WorkerList(api.ListKind.FULL, (
+    scheduler.on_list(api.WorkerList(api.ListKind.FULL, (
         api.WorkerEntry(1, phase=api.Phase.DRAINING), api.WorkerEntry(2))))
     time.run(50 * MS)
     assert [a.worker for a in worker.sent] == [2]
@@ -343,7 +343,7 @@
     (first,) = worker.sent
     other = 3 - first.worker
     first.end(api.Outcome.CONNECT_FAILED)
-    scheduler.listed(api.WorkerList(api.ListKind.CHANGES, (
+    scheduler.on_list(api.WorkerList(api.ListKind.CHANGES, (
         api.WorkerEntry(other, phase=api.Phase.DRAINING),)))
     time.run(999 * MS)
     assert [a.worker for a in worker.sent if a.worker == other] == [] and reply.final == ["refused"]
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -328,7 +328,7 @@
 
 def test_a_client_that_floods_without_end_is_told_so_and_its_request_given_up() -> None:
     async def case() -> None:
-        limits = Limits(behind=300_000)
+        limits = Limits(pipelined=300_000)
         server, port = serving(limits)
         gone, client = await stuck(server, port, b"")
         most = [0]
--- a/tests/test_shutdown_refusals.py
+++ b/tests/test_shutdown_refusals.py
@@ -40,7 +40,7 @@
             MINUTES, 7, Limits(requests=100), self.time, self.time)  # type: ignore[arg-type]
         self.scheduler.connect(self.worker, self.worker)
         entries = tuple(api.WorkerEntry(w) for w in range(1, 9))
-        self.scheduler.listed(api.WorkerList(api.ListKind.FULL, entries))
+        self.scheduler.on_list(api.WorkerList(api.ListKind.FULL, entries))
         self.count = 0
 
     def submit(self, job_class: int = 0) -> Answers:
@@ -106,7 +106,7 @@
 def test_where_another_process_goes_on_with_them_they_are_taken() -> None:
     case = Case()
     case.served_after(60)
-    case.scheduler.passes_on = True
+    case.scheduler.migrates_jobs = True
     case.scheduler.end_by(case.time.now() + END)
     assert not case.start().final
 
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -159,10 +159,10 @@
 
 
 SHORT = replace(
-    Limits(), watch_least=timedelta(milliseconds=50), watch_most=timedelta(milliseconds=100),
-    watch_grace=timedelta(milliseconds=50), watch_pace=timedelta(milliseconds=20),
+    Limits(), watch_min=timedelta(milliseconds=50), watch_max=timedelta(milliseconds=100),
+    watch_grace=timedelta(milliseconds=50), watch_interval=timedelta(milliseconds=20),
     fetch=timedelta(milliseconds=400), retry=timedelta(milliseconds=40),
-    retry_most=timedelta(milliseconds=80))
+    retry_max=timedelta(milliseconds=80))
 
 
 def half(writer: asyncio.StreamWriter, whole: bytes) -> None:
@@ -299,12 +299,12 @@
     """A silent watch is given up after its wait and grace; its next call may be refused once, and has 2 s."""
     turn = timedelta(seconds=2)
     for limits in (Limits(), Limits.fit(256, 32, 100, timedelta(seconds=0.5), timedelta(seconds=5))):
-        given_up = limits.watch_most + limits.watch_grace
+        given_up = limits.watch_max + limits.watch_grace
         assert given_up + limits.retry + turn < timedelta(seconds=TOLD)
-        assert limits.watch_pace < timedelta(milliseconds=200)  # the next call continues the watch
+        assert limits.watch_interval < timedelta(milliseconds=200)  # the next call continues the watch
         assert limits.fetch + turn < timedelta(seconds=TOLD)  # one call unanswered, then one that is
         # Any number of failures: from the return the longest pause, one refusal and its turn.
-        assert limits.retry_most + limits.connect + limits.retry + turn < timedelta(seconds=TOLD)
+        assert limits.retry_max + limits.connect + limits.retry + turn < timedelta(seconds=TOLD)
 
 
 def test_an_outage_is_one_line_and_its_end_another() -> None:
@@ -330,7 +330,7 @@
         discovery = Turns()
         discovery.rev, discovery.state = 7, "up"
         async with discovery.serving() as address:
-            s = Scheduler(address, replace(SHORT, older=timedelta(seconds=0.5)), 1)
+            s = Scheduler(address, replace(SHORT, older_list_wait=timedelta(seconds=0.5)), 1)
             await until(lambda: len(discovery.calls) > 2)
             calls, began = len(discovery.calls), time.monotonic()
             discovery.rev, discovery.state, discovery.stale = 3, "draining", True
@@ -352,7 +352,7 @@
             setattr(discovery, way, True)
             calls, began = len(discovery.calls), time.monotonic()
             await until(lambda: len(discovery.calls) >= calls + 20)
-            pace = SHORT.watch_pace.total_seconds()
+            pace = SHORT.watch_interval.total_seconds()
             # Of these calls' starts all but the first are at least the pace after the one before.
             assert time.monotonic() - began > (len(discovery.calls) - calls - 1) * pace
             began = time.monotonic()
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -211,7 +211,7 @@
         scheduler = Scheduler(site, 7, Limits(), Clock(), IOLoop.current())
         directory = One(server.sockets[0].getsockname()[1])
         scheduler.connect(HttpWorkers(directory, Limits(), Clock()), directory)  # type: ignore[arg-type]
-        scheduler.listed(api.WorkerList(api.ListKind.FULL, tuple(api.WorkerEntry(w) for w in (1, 2, 3))))
+        scheduler.on_list(api.WorkerList(api.ListKind.FULL, tuple(api.WorkerEntry(w) for w in (1, 2, 3))))
         reply = Answers()
         scheduler.submit(Job("77", "/a", b"", 0, 0, timedelta(seconds=5)), reply)
         await until(lambda: reply.final)
