--- a/hazellead/core/lease.py
+++ b/hazellead/core/lease.py
@@ -91,7 +91,7 @@
             self._move_until = max(self._move_until, at + self.terms.move)
 
     def live_watch_refused(self, at: datetime) -> None:
-        """Record that discovery refused a live watch: that one does not queue, so this is no overload."""
+        """Record that discovery refused a live watch; such calls do not queue, so there is no overload."""
         self._outage = True
         self._extend(at)
 
@@ -103,8 +103,8 @@
         """Record a call that failed after a wait: in an outage, or in an overload with waiting calls.
 
         The protocol does not distinguish these. It counts as an outage if one is proven to have begun, if
-        discovery has refused calls of an overload at once, or after so many calls in a row that no overload
-        which discovery can serve within the lease explains them.
+        discovery has refused calls of an overload at once, or after so many calls in a row that an overload
+        which discovery can serve within the lease is ruled out.
         """
         self._unserved += 1
         if self._outage or self._refuses_at_once or self._unserved >= _UNSERVED_CALLS_IN_OUTAGE:
@@ -122,7 +122,7 @@
     def _extend(self, at: datetime) -> None:
         """Restart the lease at a proof that no process could be notified.
 
-        Not after a watch went silent: for changes missed before the outage, the time went on running.
+        Has no effect after a watch went silent: the time of changes missed before the outage keeps running.
         """
         if not self._may_have_missed:
             self._until = max(self._until, at + self.terms.contact)
--- a/hazellead/limits.py
+++ b/hazellead/limits.py
@@ -105,9 +105,9 @@
     process_stall: timedelta = timedelta(milliseconds=150)
     transit: timedelta = timedelta(milliseconds=50)
     first_list: timedelta = timedelta(seconds=4)  # how long a new process delays being ready
-    # After a quiesce: the delay before idle connections are closed, since the front end in front of the
-    # scheduler polls ten times a second and sends on for 0.2 s; and how long jobs are accepted, so that
-    # 4 s after the quiesce no open job was accepted in the last 2 s.
+    # After a quiesce: the delay before idle connections are closed, since the platform's front end polls ten
+    # times a second and goes on sending for 0.2 s; and how long jobs are accepted, so that 4 s after the
+    # quiesce no open job was accepted in the last 2 s.
     drain_settle: timedelta = timedelta(milliseconds=500)
     drain_accept: timedelta = timedelta(milliseconds=1800)
     drain_poll: timedelta = timedelta(milliseconds=100)  # between checks for connections that became idle
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""Settings and a small independent referee for event sequences."""
+"""Settings, worker lists and a referee that checks a dispatcher independently of its code."""
 
 from dataclasses import dataclass, field, replace
 
@@ -24,7 +24,7 @@
 
 
 def fleet(count: int = 4, **changes: int) -> api.WorkerList:
-    """Return a full list of ready workers, two to a zone."""
+    """Return a full list of ready workers, spread over two zones; ``changes`` apply to every entry."""
     entries = [api.WorkerEntry(w, zone=w % 2, cell=w % 2) for w in range(1, count + 1)]
     return api.WorkerList(api.ListKind.FULL, tuple(replace(e, **changes) for e in entries))  # type: ignore[arg-type]
 
@@ -36,7 +36,7 @@
 
 @dataclass
 class Sent:
-    """One attempt as the referee saw it."""
+    """One attempt as recorded by the referee."""
 
     worker: int
     at: int
@@ -45,21 +45,21 @@
 
 @dataclass
 class Ledger:
-    """One request as the referee saw it."""
+    """One request as recorded by the referee."""
 
     event: api.Arrival
     at: int
     sent: list[Sent] = field(default_factory=list)
     answer: str = ""
 
-    def maybe(self) -> list[Sent]:
-        """Return the attempts not proven never to have run."""
+    def may_have_run(self) -> list[Sent]:
+        """Return the attempts that may have run."""
         proof = (api.Outcome.FULL, api.Outcome.CONNECT_FAILED, api.Outcome.MOOT)
         return [s for s in self.sent if s.outcome not in proof]
 
 
 class Referee:
-    """Plays events into a dispatcher and checks rules 1 to 3 with bookkeeping of its own."""
+    """Passes events to a dispatcher and checks its pushes and answers against records of its own."""
 
     def __init__(self, settings: api.Settings = BASE, seed: int = 7) -> None:
         """Start a dispatcher with no workers."""
@@ -67,11 +67,11 @@
         self.books: dict[int, Ledger] = {}
         self.zones: dict[int, int] = {}
         self.ready: set[int] = set()
-        self.bound: dict[int, int] = {}  # workers listed as draining, by the start they were listed with
+        self.draining: dict[int, int] = {}  # start times of workers that were listed as draining
         self.log: list[api.Action] = []
 
     def play(self, *events: api.Event, after_us: int = 0) -> list[api.Action]:
-        """Advance the clock, hand over the events and judge what comes back."""
+        """Advance the clock, pass the events to the dispatcher and check the actions it returns."""
         self.now += after_us
         for e in events:
             if isinstance(e, api.WorkerList):
@@ -82,10 +82,11 @@
                     self.ready.discard(entry.worker)
                     if entry.phase is api.Phase.READY:
                         self.ready.add(entry.worker)
-                        if entry.started_us > self.bound.get(entry.worker, -1):
-                            self.bound.pop(entry.worker, None)
+                        if entry.started_us > self.draining.get(entry.worker, -1):
+                            self.draining.pop(entry.worker, None)
                     elif entry.phase is api.Phase.DRAINING:
-                        self.bound[entry.worker] = max(entry.started_us, self.bound.get(entry.worker, -1))
+                        self.draining[entry.worker] = max(
+                            entry.started_us, self.draining.get(entry.worker, -1))
             elif isinstance(e, api.Arrival):
                 self.books[e.request] = Ledger(e, self.now)
             elif isinstance(e, api.AttemptEnded):
@@ -103,7 +104,7 @@
                 assert not book.answer, "a second final answer"
                 assert self.now <= book.at + book.event.remaining_us, "answered too late"
                 if isinstance(a, api.Refuse):
-                    assert not book.maybe(), "refused what may have run"
+                    assert not book.may_have_run(), "refused a job that may have run"
                 book.answer = "answered"
         self.log += actions
         return actions
@@ -113,25 +114,25 @@
         kind = self.settings.classes[book.event.job_class]
         assert not book.answer, "sent after the final answer"
         if self.settings.drain_binds_alone:
-            assert a.worker in self.zones and a.worker not in self.bound, "sent to a draining worker"
+            assert a.worker in self.zones and a.worker not in self.draining, "sent to a draining worker"
         else:
             assert a.worker in self.ready, "sent to a worker that is not ready"
         assert len(book.sent) < self.settings.max_attempts
-        if earlier := book.maybe():
-            assert kind.effect is not api.Effect.UNSAFE, "unsafe sent twice"
+        if earlier := book.may_have_run():
+            assert kind.effect is not api.Effect.UNSAFE, "unsafe job sent twice"
             if kind.effect is api.Effect.KEYED:
-                assert self.now - earlier[0].at < kind.key_ttl_us, "keyed sent past its window"
-                assert self.zones[earlier[0].worker] == self.zones[a.worker], "keyed sent out of its group"
+                assert self.now - earlier[0].at < kind.key_ttl_us, "keyed job sent after its key expired"
+                assert self.zones[earlier[0].worker] == self.zones[a.worker], "keyed job sent out of group"
         if not self.settings.may_duplicate:
-            assert all(s.outcome for s in book.sent), "two attempts out at once"
+            assert all(s.outcome for s in book.sent), "two attempts open at once"
         book.sent.append(Sent(a.worker, self.now))
 
     def open_attempts(self) -> list[tuple[int, int]]:
-        """Return request and number of the attempts that are out."""
+        """Return the request and attempt numbers of the open attempts."""
         return [(r, n) for r, b in self.books.items() for n, s in enumerate(b.sent) if s.outcome is None]
 
     def end(self, request: int, attempt: int, outcome: api.Outcome, report: api.Report | None = None) -> None:
-        """End one attempt that is out."""
+        """End one open attempt."""
         book = self.books[request]
         done = bool(book.answer) or outcome is api.Outcome.SERVED
         sent = book.sent[attempt]
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -1,4 +1,4 @@
-"""Whole fleets, virtual time: nothing is sent to a server that drains or is gone once that counts as told."""
+"""Whole fleets in virtual time: no sends to a drained or removed server once a process counts as notified."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -6,7 +6,7 @@
 
 import pytest
 from discovery_model import Crowd, Outage
-from fleet import Fleet, Gate, Verdict, knows_all, never_listens, real_gate
+from fleet import Fleet, Gate, Verdict, ignores_drains, knows_current_state, real_gate
 from virtual_loop import VirtualLoop, run_virtually
 
 Scenario = Callable[[Fleet], Awaitable[None]]
@@ -14,7 +14,7 @@
 
 
 def play(scenario: Scenario, size: int, *, gate: Gate = real_gate, **given: Any) -> Verdict:
-    """Play one scenario to its end and return the referee's verdict."""
+    """Run one scenario to its end and return the referee's verdict."""
     async def case(loop: VirtualLoop) -> Verdict:
         fleet = Fleet(loop, size, gate=gate, **given)
         await scenario(fleet)
@@ -24,20 +24,20 @@
 
 
 def second_address(fleet: Fleet, number: int = 2, **given: Any) -> tuple[str, int]:
-    """Add another address of discovery, with versions of its own."""
+    """Add another discovery address with list versions of its own."""
     address = (f"10.2.0.{number}", 8500)
     fleet.add_service(address, first_version=100 * number, **given)
     return address
 
 
-# What befalls a fleet.
+# Scenarios.
 
 
 async def all_watches_fall_silent(fleet: Fleet) -> None:
     await fleet.settle()
     await asyncio.sleep(3)
     fleet.service.silence_watches()
-    for wave in range(4):  # drains right after, and while the fleet asks anew
+    for wave in range(4):  # drains right afterwards, and while the fleet reopens its watches
         await asyncio.sleep(0.3 + wave)
         fleet.drain(wave)
     await asyncio.sleep(12)
@@ -98,7 +98,7 @@
 
 
 async def _move(fleet: Fleet, address: tuple[str, int]) -> None:
-    """Bring new settings everywhere; what the former address would tell is heard by nobody from then on."""
+    """Apply a new discovery address to all processes; watches of the former address go silent."""
     former = fleet.network.services[fleet.processes[0].address]
     for process in fleet.processes:
         process.move(address)
@@ -137,14 +137,14 @@
 async def rolling_restart(fleet: Fleet) -> None:
     await fleet.settle()
     tenth = max(1, fleet.size // 10)
-    for begin in range(0, fleet.size, tenth):
-        batch = fleet.processes[begin:begin + tenth]
+    for start in range(0, fleet.size, tenth):
+        batch = fleet.processes[start:start + tenth]
         for process in batch:
             process.kill()
-        fleet.drain((begin // tenth) % 10)
+        fleet.drain((start // tenth) % 10)
         await asyncio.sleep(0.6)
         for process in batch:
-            process.begin()
+            process.start()
         await asyncio.sleep(0.4)
     await asyncio.sleep(10)
 
@@ -158,7 +158,7 @@
         fleet.drain(wave)
         await asyncio.sleep(0.8)
     for process in killed:
-        process.begin()
+        process.start()
     for wave in range(3):
         await asyncio.sleep(1)
         fleet.drain(3 + wave)
@@ -174,7 +174,7 @@
     fleet.remove(2)
     await asyncio.sleep(30)
     for process in killed:
-        process.begin()
+        process.start()
     await asyncio.sleep(12)
 
 
@@ -187,7 +187,7 @@
     fleet.drain(0)
     await asyncio.sleep(1)
     for process in fleet.processes[::2]:
-        process.begin()
+        process.start()
     await asyncio.sleep(25)
     fleet.service.come_back()
     fleet.drain(1)
@@ -211,15 +211,15 @@
     await asyncio.sleep(45)
 
 
-async def servers_leave_and_come_again(fleet: Fleet) -> None:
+async def servers_leave_and_return(fleet: Fleet) -> None:
     await fleet.settle()
     for boot in range(1, 4):
         fleet.drain(0)
         await asyncio.sleep(1)
         fleet.remove(0)
         await asyncio.sleep(1)
-        fleet.registry.change("s-0", "up", boot_ms=boot)  # under the same name
-        fleet.registry.change(f"s-1{boot}", "up", endpoint="10.0.0.1:80", boot_ms=boot)  # at its endpoint
+        fleet.registry.change("s-0", "up", boot_ms=boot)  # with the same name
+        fleet.registry.change(f"s-1{boot}", "up", endpoint="10.0.0.1:80", boot_ms=boot)  # same endpoint
         await asyncio.sleep(1)
     fleet.service.silence_watches()
     fleet.drain(0)
@@ -236,8 +236,8 @@
     await asyncio.sleep(8)
 
 
-async def removed_while_nobody_could_hear(fleet: Fleet) -> None:
-    """Absent from the next whole list, which comes from another address."""
+async def removed_while_watches_are_silent(fleet: Fleet) -> None:
+    """The servers are missing from the next full list, which comes from another address."""
     await fleet.settle()
     fleet.service.silence_watches()
     fleet.remove(0, 1)
@@ -246,8 +246,8 @@
     await asyncio.sleep(14)
 
 
-async def discovery_set_up_anew(fleet: Fleet) -> None:
-    """Its versions begin again below those held, and processes start from a list with a former number."""
+async def discovery_is_set_up_again(fleet: Fleet) -> None:
+    """Its versions restart below those held, and processes start from a list with an old version number."""
     await fleet.settle()
     for process in fleet.processes:
         process.kill()
@@ -255,7 +255,7 @@
     fleet.drain(0)
     await asyncio.sleep(2)
     for process in fleet.processes:
-        process.begin()
+        process.start()
     await asyncio.sleep(1)
     fleet.drain(1)
     await asyncio.sleep(20)
@@ -284,33 +284,33 @@
 MORE: dict[str, tuple[Scenario, dict[str, Any]]] = {
     "quiet time": (trouble_after_ten_quiet_minutes, {}),
     "long queue": (slow_discovery_with_a_long_queue, {}),
-    "come again": (servers_leave_and_come_again, {}),
+    "come again": (servers_leave_and_return, {}),
     "changes": (changes_keep_happening, {}),
-    "whole list": (removed_while_nobody_could_hear, {}),
-    "set up anew": (discovery_set_up_anew, {}),
+    "whole list": (removed_while_watches_are_silent, {}),
+    "set up anew": (discovery_is_set_up_again, {}),
 }
 PUSHED = {"silence", "resets", "rolling restart", "most are killed", "old lists", "come again", "changes"}
 
 
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("fault", FAULTS)
-def test_no_process_sends_to_a_server_after_its_leaving_was_notified(fault: str, size: int) -> None:
+def test_no_process_sends_to_a_server_after_notification_that_it_leaves(fault: str, size: int) -> None:
     scenario, given = FAULTS[fault]
     verdict = play(scenario, size, **given)
-    assert verdict.broken == 0, verdict.first
+    assert verdict.violations == 0, verdict.first_violation
 
 
 @pytest.mark.parametrize("fault", MORE)
-def test_no_process_of_a_fleet_of_forty_does_so_in_rarer_trouble(fault: str) -> None:
+def test_no_process_of_a_fleet_of_forty_does_so_in_rarer_faults(fault: str) -> None:
     scenario, given = MORE[fault]
     verdict = play(scenario, 40, **given)
-    assert verdict.broken == 0, verdict.first
+    assert verdict.violations == 0, verdict.first_violation
 
 
 def test_no_process_does_so_after_an_outage_whose_crowd_is_let_wait() -> None:
-    """Then each call fails after the longest wait both in the outage and in the crowd that follows it."""
+    """Each call fails after the longest wait, in the outage as well as in the overload that follows it."""
     verdict = play(short_outage, 40, crowd=Crowd.REFUSED_AFTER_WAIT)
-    assert verdict.broken == 0, verdict.first
+    assert verdict.violations == 0, verdict.first_violation
 
 
 async def agent_silent_for_a_while(fleet: Fleet) -> None:
@@ -321,12 +321,12 @@
 def test_no_process_does_so_where_lists_are_pushed(fault: str) -> None:
     scenario = agent_silent_for_a_while if fault == "outage" else (FAULTS | MORE)[fault][0]
     verdict = play(scenario, 40, pushed=True)
-    assert verdict.broken == 0, verdict.first
+    assert verdict.violations == 0, verdict.first_violation
 
 
 @pytest.mark.parametrize("fault", [*FAULTS, *MORE])
-def test_the_referee_catches_a_fleet_that_never_listens_and_clears_one_that_knows_all(fault: str) -> None:
+def test_the_referee_reports_a_fleet_that_ignores_drains_and_passes_one_that_knows_all(fault: str) -> None:
     scenario, given = (FAULTS | MORE)[fault]
-    assert play(scenario, 6, gate=never_listens, **given).broken > 0
-    clean = play(scenario, 6, gate=knows_all, **given)
-    assert clean.broken == 0 and clean.share == 1.0
+    assert play(scenario, 6, gate=ignores_drains, **given).violations > 0
+    correct = play(scenario, 6, gate=knows_current_state, **given)
+    assert correct.violations == 0 and correct.served_share == 1.0
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -1,4 +1,4 @@
-"""Settings that change: numbers keep their meaning while jobs are open, and broken files change nothing."""
+"""Reloaded settings: numbers keep their meaning while jobs are open, and invalid files change nothing."""
 
 import asyncio
 import copy
@@ -26,39 +26,40 @@
 
 
 class Numbers(RuleBasedStateMachine):
-    """Any sequence of settings with jobs coming and ending: each job finds the rules it came under."""
+    """Random reloads while jobs arrive and end: each job keeps the rules under which it was submitted."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = generations.initial(
             api.Settings((KINDS[0],), (api.Tenant(0.5, 10),), max_attempts=3), ["post"], ["a"])
-        self.names, self.open = ["post"], list[tuple[int, int, api.JobClass, int]]()
-        self.module = Dispatcher(self.now.settings, 1)
+        self.names, self.open_jobs = ["post"], list[tuple[int, int, api.JobClass, int]]()
+        self.dispatcher = Dispatcher(self.now.settings, 1)
         self.clock = 0
 
     @rule(at=st.integers(0, 9))
-    def job(self, at: int) -> None:
+    def submit(self, at: int) -> None:
         at %= len(self.names)
         number = self.now.class_ids[at]
-        self.open.append((number, self.now.tenant_ids[0], self.now.settings.classes[number],
-                          self.now.settings.attempts(number)))
+        self.open_jobs.append((number, self.now.tenant_ids[0], self.now.settings.classes[number],
+                               self.now.settings.attempts(number)))
         self.clock += 4000
-        self.module.handle(self.clock, [api.Arrival(len(self.open), number, 900_000, self.now.tenant_ids[0])])
+        self.dispatcher.handle(
+            self.clock, [api.Arrival(len(self.open_jobs), number, 900_000, self.now.tenant_ids[0])])
 
     @rule(at=st.integers(0, 9))
-    def ended(self, at: int) -> None:
-        if self.open:
-            del self.open[at % len(self.open)]
+    def end(self, at: int) -> None:
+        if self.open_jobs:
+            del self.open_jobs[at % len(self.open_jobs)]
 
     @rule(names=st.lists(st.sampled_from(["post", "refund", "x", "y"]), min_size=1, unique=True),
           kinds=st.lists(st.sampled_from(KINDS), min_size=4, max_size=4), most=st.integers(1, 3),
           tenants=st.lists(st.sampled_from(TENANTS), min_size=1, unique=True))
-    def retune(self, names: list[str], kinds: list[api.JobClass], most: int, tenants: list[str]) -> None:
+    def reload(self, names: list[str], kinds: list[api.JobClass], most: int, tenants: list[str]) -> None:
         before = self.now
         settings = api.Settings(tuple(kinds[:len(names)]), tuple(api.Tenant(0.5, 10) for _ in tenants),
                                 max_attempts=most)
-        self.now = generations.next_after(before, settings, names, tenants, {n for n, *_ in self.open},
-                                      {t for _, t, *_ in self.open})
+        self.now = generations.next_after(before, settings, names, tenants, {n for n, *_ in self.open_jobs},
+                                          {t for _, t, *_ in self.open_jobs})
         self.names = names
         assert self.now.number == before.number + 1
         for name, kind, number in zip(names, kinds, self.now.class_ids, strict=False):
@@ -71,17 +72,17 @@
         for name, number in zip(tenants, self.now.tenant_ids, strict=True):
             assert self.now.tenant_rows[number][0] == name
         self.clock += 4000
-        self.module.handle(self.clock, [api.Retuned(self.now.settings, self.now.fresh)])
+        self.dispatcher.handle(self.clock, [api.Retuned(self.now.settings, self.now.fresh)])
 
     @invariant()
     def open_jobs_keep_their_rules(self) -> None:
-        for number, tenant, kind, attempts in self.open:
+        for number, tenant, kind, attempts in self.open_jobs:
             assert self.now.settings.classes[number] == kind
             assert self.now.settings.attempts(number) == attempts
             assert self.now.settings.tenants[tenant].portion == 0.5
-        shares = [t.share for t in self.module.tenants]
+        shares = [t.share for t in self.dispatcher.tenants]
         assert len(shares) == len(self.now.tenant_rows) and abs(sum(shares) - 1) < 1e-9 and min(shares) > 0
-        assert len(self.module.run_us) == len(self.now.class_rows)
+        assert len(self.dispatcher.run_us) == len(self.now.class_rows)
 
 
 Numbers.TestCase.settings = STEADY
@@ -90,40 +91,41 @@
 
 def test_an_open_job_keeps_its_attempts_and_effect_while_a_new_one_has_its_own() -> None:
     safe = api.JobClass(100_000, 5_000_000, api.Effect.SAFE)
-    held = generations.initial(api.Settings((safe,), max_attempts=3), ["post"])
-    module = Dispatcher(held.settings, 1)
-    first = pushes(module.handle(0, [fleet(8), api.Arrival(1, 0, 5_000_000)]))
+    before = generations.initial(api.Settings((safe,), max_attempts=3), ["post"])
+    dispatcher = Dispatcher(before.settings, 1)
+    first = pushes(dispatcher.handle(0, [fleet(8), api.Arrival(1, 0, 5_000_000)]))
     assert len(first) == 1
     once = api.Settings((replace(safe, effect=api.Effect.UNSAFE),), max_attempts=1)
-    now = generations.next_after(held, once, ["post"], [], {0}, {0})
+    now = generations.next_after(before, once, ["post"], [], {0}, {0})
     assert now.class_ids == (1,) and now.settings.classes[0].effect is api.Effect.SAFE
-    second = pushes(module.handle(4000, [api.Retuned(now.settings, now.fresh), api.Arrival(2, 1, 5_000_000)]))
+    second = pushes(dispatcher.handle(
+        4000, [api.Retuned(now.settings, now.fresh), api.Arrival(2, 1, 5_000_000)]))
     assert [p.request for p in second] == [2]
     reset = api.Outcome.RESET
-    actions = module.handle(64_000, [api.AttemptEnded(1, 0, first[0].worker, reset, 64_000, False),
-                                     api.AttemptEnded(2, 0, second[0].worker, reset, 60_000, False)])
-    assert [p.request for p in pushes(actions)] == [1], "tried again under the rules it came under"
+    actions = dispatcher.handle(64_000, [api.AttemptEnded(1, 0, first[0].worker, reset, 64_000, False),
+                                         api.AttemptEnded(2, 0, second[0].worker, reset, 60_000, False)])
+    assert [p.request for p in pushes(actions)] == [1], "retried under the rules it was submitted under"
     assert [a.request for a in actions if isinstance(a, api.Fail)] == [2]
 
 
-def test_what_was_learned_stays_and_a_new_class_starts_from_it() -> None:
-    held = generations.initial(api.Settings((KINDS[2],), max_attempts=3), ["post"])
-    module = Dispatcher(held.settings, 1)
-    module.handle(0, [fleet(4)])
+def test_learned_run_times_survive_a_reload_and_a_new_class_starts_from_them() -> None:
+    before = generations.initial(api.Settings((KINDS[2],), max_attempts=3), ["post"])
+    dispatcher = Dispatcher(before.settings, 1)
+    dispatcher.handle(0, [fleet(4)])
     for i in range(40):
-        [push] = pushes(module.handle(400_000 * i, [api.Arrival(i, 0, 5_000_000)]))
+        [push] = pushes(dispatcher.handle(400_000 * i, [api.Arrival(i, 0, 5_000_000)]))
         began = 400_000 * i + 4000
-        module.handle(began, [api.JobBegan(i, 0, push.worker)])
-        module.handle(began + 300_000, [
+        dispatcher.handle(began, [api.JobBegan(i, 0, push.worker)])
+        dispatcher.handle(began + 300_000, [
             api.AttemptEnded(i, 0, push.worker, api.Outcome.SERVED, 304_000, True)])
-    assert module.run_us[0] > 250_000
+    assert dispatcher.run_us[0] > 250_000
     settings = api.Settings((KINDS[2], KINDS[5]), max_attempts=2)
-    now = generations.next_after(held, settings, ["post", "v2"], [], (), ())
-    module.handle(17_000_000, [api.Retuned(now.settings, now.fresh)])
-    assert now.fresh and module.run_us[now.class_ids[1]] == module.mean_run > 250_000
+    now = generations.next_after(before, settings, ["post", "v2"], [], (), ())
+    dispatcher.handle(17_000_000, [api.Retuned(now.settings, now.fresh)])
+    assert now.fresh and dispatcher.run_us[now.class_ids[1]] == dispatcher.mean_run > 250_000
 
 
-def test_too_many_names_are_refused_and_numbers_are_used_again() -> None:
+def test_too_many_tenants_are_refused_and_class_numbers_are_reused() -> None:
     now = generations.initial(api.Settings((KINDS[0],), max_attempts=1), ["0"], [])
     for i in range(1, 600):
         now = generations.next_after(now, api.Settings((KINDS[0],), max_attempts=1), [str(i)], [], (), ())
@@ -137,18 +139,18 @@
 def changed(**parts: Any) -> dict[str, Any]:
     settings = copy.deepcopy(SETTINGS)
     for path, value in parts.items():
-        *way, last = path.split("__")
-        at = settings
-        for step in way:
-            at = at[int(step)] if step.isdigit() else at[step]
+        *parents, last = path.split("__")
+        node = settings
+        for key in parents:
+            node = node[int(key)] if key.isdigit() else node[key]
         if value is None:
-            del at[last]
+            del node[last]
         else:
-            at[last] = value
+            node[last] = value
     return settings
 
 
-BROKEN: list[tuple[Any, bytes]] = [
+INVALID: list[tuple[Any, bytes]] = [
     (changed(caps__maxAttempts=0), b"maxAttempts"), (changed(caps__maxAttempts=True), b"maxAttempts"),
     (changed(caps__maxAttempts="2"), b"maxAttempts"), (changed(caps__maxAttempts=None), b"maxAttempts"),
     (changed(requestClasses__0__hardLimitUs=-5), b"hardLimitUs"),
@@ -162,7 +164,7 @@
     ("", b"not JSON"), (None, b"settings are missing")]
 
 
-def test_new_classes_serve_and_broken_files_change_nothing(tmp_path: Path) -> None:
+def test_new_classes_are_served_and_invalid_files_change_nothing(tmp_path: Path) -> None:
     async def case() -> None:
         port, console, count = free_port(), free_port(), Counter[bytes]()
         worker = HttpWorker("s-1", count, lambda: port)
@@ -172,7 +174,7 @@
             path = tmp_path / "config.json"
             base = json.loads(path.read_text())
 
-            async def hup(text: str) -> bytes:
+            async def reload(text: str) -> bytes:
                 path.write_text(text)
                 process.send_signal(signal.SIGHUP)
                 while True:
@@ -185,29 +187,30 @@
                                                   HEADERS.format(identity))
                 return status, body
 
-            held = asyncio.ensure_future(post("post-payment", "1"))
+            open_post = asyncio.ensure_future(post("post-payment", "1"))
             await until(lambda: count[b"1"])
             whole = json.dumps(base)
             for cut in range(0, len(whole), max(1, len(whole) // 40)):
-                assert b"config_kept" in await hup(whole[:cut])
-            for settings, words in BROKEN:
+                assert b"config_kept" in await reload(whole[:cut])
+            for settings, words in INVALID:
                 text = settings if settings == "" else json.dumps(
                     {k: v for k, v in (base | {"settings": settings}).items() if v is not None})
-                line = await hup(text)
+                line = await reload(text)
                 assert b"config_kept" in line and words in line, (settings, line)
             assert (await post("refund", "2"))[0] == 404
             row = SETTINGS["requestClasses"][0]
             new = changed(requestClasses=[row | {"name": "refund"}, row | {"name": "v2", "effect": "free"}],
                           caps__maxAttempts=1)
-            assert b"config_read" in await hup(json.dumps(base | {"settings": new}))
+            assert b"config_read" in await reload(json.dumps(base | {"settings": new}))
             worker.states = [{"state": "done"}]
             assert await post("refund", "3") == (200, b"posted 3") and (await post("v2", "4"))[0] == 200
             assert (await post("post-payment", "5"))[0] == 404
-            got = read((await ask(console))[1])
-            assert got["replies.refund.success"] == got["replies.v2.success"] == 1 and got["concurrent"] == 1
-            assert got["reload_success"] == 1 and got["reload_failure"] >= 40 + len(BROKEN)
+            metrics = read((await ask(console))[1])
+            assert metrics["replies.refund.success"] == metrics["replies.v2.success"] == 1 and (
+                metrics["concurrent"] == 1)
+            assert metrics["reload_success"] == 1 and metrics["reload_failure"] >= 40 + len(INVALID)
             assert await worker.call_back("1", state="done", result="r") == 200
-            assert await held == (200, b"r")
+            assert await open_post == (200, b"r")
             assert read((await ask(console))[1])["replies.post-payment.success"] == 1
 
     run(case())
--- a/tests/test_requests_at_each_step.py
+++ b/tests/test_requests_at_each_step.py
@@ -1,7 +1,7 @@
-"""A request's bytes at each moment of an end and of a hand-over, whole and in pieces.
+"""Requests at every moment of a shutdown and of a hand-over, sent whole and in pieces.
 
-On kept connections a request begins every 12 ms from before SIGTERM until after the last close; each is
-answered, or crosses the end of its resting connection unread.
+On keep-alive connections a request starts every 12 ms from before SIGTERM until after the last close. Each is
+answered, unless its idle connection is closed before any of it has been read.
 """
 
 import asyncio
@@ -27,12 +27,12 @@
 PIECE_PAUSE_S = 0.006
 DEADLINE_S = 3.0
 SETTLE_S = 1.0
-TOGETHER = 20
+BATCH = 20
 
 
 @dataclass
-class Stand:
-    """One scheduler, its workers and the clients' connections to it."""
+class RunningScheduler:
+    """A scheduler process with its workers, to which clients connect."""
 
     slot: Slot
     records: Records
@@ -42,8 +42,8 @@
         _, line = await asyncio.get_running_loop().create_connection(Line, HOST, self.slot.port)
         return line
 
-    async def ask(self, line: Line, pieces: int) -> Request:
-        """Send a request in so many pieces and wait for its answer, or the end of its connection."""
+    async def send_request(self, line: Line, pieces: int) -> Request:
+        """Send a request in ``pieces`` parts; wait for its answer or the end of its connection."""
         self.count += 1
         identity, now = f"n0-{self.count}", asyncio.get_running_loop().time
         headers = {"X-Trace-Id": identity, "X-Customer": TENANTS[self.count % 2], "X-Expires-In": "3000m"}
@@ -68,8 +68,8 @@
 
 
 @asynccontextmanager
-async def standing(folder: Path) -> AsyncIterator[Stand]:
-    """Run a scheduler with six workers."""
+async def running_scheduler(folder: Path) -> AsyncIterator[RunningScheduler]:
+    """Run a scheduler process with six workers."""
     records = Records()
     slot, discovery = Slot(0, 1, folder, records, program_of("-m hazellead")), Discovery(records)
     workers = [Worker(f"w{n}", records, lambda identity: slot.port) for n in range(6)]
@@ -79,7 +79,7 @@
             discovery.add(worker)
         slot.discovery = await discovery.open_for(slot.name)
         assert await (await slot.start()).ready()
-        yield Stand(slot, records)
+        yield RunningScheduler(slot, records)
     finally:
         await slot.close()
         for worker in workers:
@@ -88,12 +88,12 @@
             door.close()
 
 
-async def end(slot: Slot) -> None:
+async def shut_down(slot: Slot) -> None:
     slot.alive[0].send(signal.SIGTERM)
     await asyncio.sleep(KILL_AFTER_S)
 
 
-async def replace(slot: Slot) -> None:
+async def hand_over(slot: Slot) -> None:
     old = slot.alive[0]
     new: Process = await slot.start()
     assert await new.ready()
@@ -101,25 +101,25 @@
     await old.watching
 
 
-@pytest.mark.parametrize("step", [end, replace])
-def test_a_request_that_has_begun_is_answered_whatever_its_process_does(
+@pytest.mark.parametrize("step", [shut_down, hand_over])
+def test_a_request_that_has_begun_is_answered_during_shutdown_and_hand_over(
     step: Callable[[Slot], Awaitable[None]], tmp_path: Path,
 ) -> None:
     async def case() -> None:
-        async with standing(tmp_path) as stand:
-            lines = [await stand.connect() for _ in range(int((KILL_AFTER_S + SETTLE_S) / SPACING_S))]
-            for at in range(0, len(lines), TOGETHER):  # so that all rest between two requests
-                await asyncio.gather(*(stand.ask(line, 1) for line in lines[at:at + TOGETHER]))
-            begin = asyncio.get_running_loop().time() + 0.1
-            stepping = asyncio.ensure_future(step(stand.slot))
-
-            async def late(n: int, line: Line) -> Request:
-                await asyncio.sleep(max(0.0, begin + n * SPACING_S - asyncio.get_running_loop().time()))
-                return await stand.ask(line, 1 + n % 3)
-
-            requests = await asyncio.gather(*(late(n, line) for n, line in enumerate(lines)))
-            await stepping
-            violations = judge(stand.records)
+        async with running_scheduler(tmp_path) as running:
+            lines = [await running.connect() for _ in range(int((KILL_AFTER_S + SETTLE_S) / SPACING_S))]
+            for at in range(0, len(lines), BATCH):  # so that all connections are kept and idle
+                await asyncio.gather(*(running.send_request(line, 1) for line in lines[at:at + BATCH]))
+            first_at = asyncio.get_running_loop().time() + 0.1
+            step_task = asyncio.ensure_future(step(running.slot))
+
+            async def delayed_request(n: int, line: Line) -> Request:
+                await asyncio.sleep(max(0.0, first_at + n * SPACING_S - asyncio.get_running_loop().time()))
+                return await running.send_request(line, 1 + n % 3)
+
+            requests = await asyncio.gather(*(delayed_request(n, line) for n, line in enumerate(lines)))
+            await step_task
+            violations = judge(running.records)
             assert not violations, "\n".join(map(str, violations))
             assert sum(bool(r.answers) for r in requests) > len(requests) / 3
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -1,4 +1,4 @@
-"""The core against a model of requests and attempts: one answer each, one end for each push."""
+"""The scheduler under random events: each request gets one answer and each push one end."""
 
 from dataclasses import replace
 from datetime import datetime, timedelta
@@ -24,8 +24,8 @@
 ENDS = [o for o in api.Outcome if o not in (api.Outcome.MOOT, api.Outcome.CANCELLED, api.Outcome.TIMED_OUT)]
 
 
-class Worker:
-    """Transport and directory in one: keeps what it is sent."""
+class RecordingTransport:
+    """A worker transport and directory that records the attempts it is sent."""
 
     def __init__(self) -> None:
         self.sent: list[Attempt] = []
@@ -36,7 +36,7 @@
         return self.expired
 
     def send(self, attempt: Attempt) -> None:
-        assert attempt.may_send(), "sent to a worker that is not open to work"
+        assert attempt.may_send(), "sent to a worker that does not accept work"
         self.sent.append(attempt)
 
     def give_up(self, attempt: Attempt) -> None:
@@ -53,24 +53,24 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.time, self.worker = VirtualTime(), Worker()
+        self.time, self.worker = VirtualTime(), RecordingTransport()
         self.scheduler = Scheduler(SITE, 7, Limits(requests=20), self.time, self.time)  # type: ignore[arg-type]
         self.scheduler.connect(self.worker, self.worker)
-        self.told: list[api.Event] = []
+        self.events: list[api.Event] = []
         handle = self.scheduler._dispatcher.handle
 
-        def listen(now: int, events: list[api.Event]) -> list[api.Action]:
-            self.told += events
+        def record(now: int, events: list[api.Event]) -> list[api.Action]:
+            self.events += events
             return handle(now, events)
 
-        self.scheduler._dispatcher.handle = listen  # type: ignore[method-assign,assignment]
+        self.scheduler._dispatcher.handle = record  # type: ignore[method-assign,assignment]
         self.replies: dict[int, Answers] = {}
-        self.left: set[int] = set()
+        self.abandoned: set[int] = set()
         self.end: datetime | None = None
         self.phases = dict.fromkeys((1, 2, 3), api.Phase.READY)
-        self.tell()
+        self.send_list()
 
-    def tell(self) -> None:
+    def send_list(self) -> None:
         entries = tuple(api.WorkerEntry(w, phase=p) for w, p in self.phases.items())
         self.scheduler.on_list(api.WorkerList(api.ListKind.FULL, entries))
 
@@ -83,7 +83,7 @@
         return number
 
     @rule(which=st.integers(0, 20), outcome=st.sampled_from(ENDS))
-    def end(self, which: int, outcome: api.Outcome) -> None:  # also again, for one that has ended
+    def end(self, which: int, outcome: api.Outcome) -> None:  # may end the same attempt twice
         if self.worker.sent:
             self.worker.sent[which % len(self.worker.sent)].end(outcome, b"x")
 
@@ -93,50 +93,50 @@
             self.worker.sent[which % len(self.worker.sent)].began()
 
     @rule(number=consumes(submitted))
-    def leave(self, number: int) -> None:
-        self.left.add(number)
+    def abandon(self, number: int) -> None:
+        self.abandoned.add(number)
         self.scheduler.abandon(number)
 
     @rule(worker=st.integers(1, 3), phase=st.sampled_from(api.Phase))
     def change(self, worker: int, phase: api.Phase) -> None:
         self.phases[worker] = phase
-        self.tell()
+        self.send_list()
 
     @rule(ms=st.sampled_from([1, 5, 40, 300]))
     def wait(self, ms: int) -> None:
         self.time.run(ms * MS)
 
     @rule(ms=st.sampled_from([100, 600]))
-    def call_the_end(self, ms: int) -> None:
+    def shut_down(self, ms: int) -> None:
         self.end = min(self.end or self.time.now() + ms * MS, self.time.now() + ms * MS)
         self.scheduler.end_by(self.end)
 
     @invariant()
-    def all_is_answered_by_the_end_that_was_called(self) -> None:
+    def every_request_is_answered_by_the_shutdown_time(self) -> None:
         if self.end and self.time.now() >= self.end:
             assert not self.scheduler.unanswered and all(
-                r.final for n, r in self.replies.items() if n not in self.left)
+                r.final for n, r in self.replies.items() if n not in self.abandoned)
 
     def teardown(self) -> None:
         self.time.run(timedelta(seconds=3))
-        ends = [e for e in self.told if isinstance(e, api.AttemptEnded)]
+        ends = [e for e in self.events if isinstance(e, api.AttemptEnded)]
         assert len({(e.request, e.attempt) for e in ends}) == len(ends), "a push ended twice"
-        of: dict[int, list[Attempt]] = {}
+        by_request: dict[int, list[Attempt]] = {}
         for attempt in self.worker.sent:
-            of.setdefault(attempt.request, []).append(attempt)
+            by_request.setdefault(attempt.request, []).append(attempt)
             assert (attempt.request, attempt.number) in {(e.request, e.attempt) for e in ends}
         for number, reply in self.replies.items():
-            attempts = of.get(number, [])
-            assert len(reply.final) <= 1 and (reply.final or number in self.left), "not one final answer"
+            attempts = by_request.get(number, [])
+            assert len(reply.final) <= 1 and (reply.final or number in self.abandoned), "not one final answer"
             assert len(attempts) <= SITE.max_attempts
             ran = [a for a in attempts if a.outcome not in api.NEVER_RAN]
-            assert not ran or ran == attempts[-1:], "sent again though it may have run"
+            assert not ran or ran == attempts[-1:], "sent again although it may have run"
             served = [a for a in attempts if a.outcome is api.Outcome.SERVED]
             if reply.final and not served:
-                assert not ran or reply.final == ["failed"], "refused though it may have run"
+                assert not ran or reply.final == ["failed"], "refused although it may have run"
             assert bool(served) >= ("served x" in reply.final)
-        out = [a for a in self.worker.sent if a.outcome is api.Outcome.TIMED_OUT]
-        assert set(out) == set(self.worker.given_up) and len(out) == len(self.worker.given_up)
+        timed_out = [a for a in self.worker.sent if a.outcome is api.Outcome.TIMED_OUT]
+        assert set(timed_out) == set(self.worker.given_up) and len(timed_out) == len(self.worker.given_up)
         assert not self.scheduler._requests and not self.scheduler._identities
 
 
@@ -145,10 +145,10 @@
 
 
 def started(
-    effect: api.Effect = api.Effect.UNSAFE, window: int = 0,
-) -> tuple[VirtualTime, Worker, Scheduler]:
-    time, worker = VirtualTime(), Worker()
-    classes = tuple(replace(c, effect=effect, key_ttl_us=window) for c in SITE.classes)
+    effect: api.Effect = api.Effect.UNSAFE, key_ttl_us: int = 0,
+) -> tuple[VirtualTime, RecordingTransport, Scheduler]:
+    time, worker = VirtualTime(), RecordingTransport()
+    classes = tuple(replace(c, effect=effect, key_ttl_us=key_ttl_us) for c in SITE.classes)
     site = replace(SITE, classes=classes, may_duplicate=effect is not api.Effect.UNSAFE)
     scheduler = Scheduler(site, 7, Limits(requests=2), time, time)  # type: ignore[arg-type]
     scheduler.connect(worker, worker)
@@ -160,7 +160,7 @@
     return Job(identity, "/a", b"", 0, 0, left * MS)
 
 
-def test_the_same_id_is_not_taken_twice_while_it_is_out_even_if_its_client_left() -> None:
+def test_an_id_is_not_accepted_again_while_its_attempt_is_open_even_without_its_client() -> None:
     time, worker, scheduler = started()
     scheduler.abandon(scheduler.submit(job("a"), Answers()))
     number = scheduler.submit(job("b"), Answers())
@@ -171,14 +171,14 @@
     assert again.final == ["failed"] and [a.job.identity for a in worker.sent] == ["b"]
 
 
-def test_nothing_more_is_sent_for_a_job_that_a_copy_has_served_or_whose_client_has_left() -> None:
+def test_nothing_more_is_sent_for_a_job_that_is_served_or_abandoned() -> None:
     time, worker, scheduler = started(api.Effect.SAFE)
-    served, left = Answers(), Answers()
+    served, abandoned = Answers(), Answers()
     scheduler.submit(job("a"), served)
-    number = scheduler.submit(job("b"), left)
+    number = scheduler.submit(job("b"), abandoned)
     time.run(10 * MS)
     first, other = worker.sent
-    # A second copy whose connection is still coming up.
+    # A second copy whose connection is still being opened.
     copy = Attempt(scheduler, first.request, 1, other.worker, first.job, first.sent, first.until)
     scheduler._requests[first.request].attempts.append(copy)
     assert copy.may_send() and other.may_send()
@@ -190,11 +190,11 @@
 @pytest.mark.parametrize(("effect", "early", "late"), [
     (api.Effect.SAFE, True, True), (api.Effect.KEYED, True, False), (api.Effect.UNSAFE, False, False)])
 @pytest.mark.parametrize("ran", [True, False])
-def test_a_repeat_begins_only_while_its_class_allows_it(
+def test_a_repeat_is_sent_only_while_its_class_allows_it(
     effect: api.Effect, early: bool, late: bool, ran: bool,
 ) -> None:
-    """Its connection takes long to come up: what held when it was chosen may hold no more."""
-    time, worker, scheduler = started(effect, window=100_000)
+    """While the connection is being opened, the time in which a repeat is allowed may run out."""
+    time, worker, scheduler = started(effect, key_ttl_us=100_000)
     scheduler.submit(job("a"), Answers())
     time.run(10 * MS)
     (first,) = worker.sent
@@ -206,7 +206,7 @@
     assert second.may_send() is (late or not ran)
 
 
-def test_at_a_called_end_what_never_ran_is_refused_and_what_may_have_run_has_failed() -> None:
+def test_at_shutdown_jobs_that_never_ran_are_refused_and_jobs_that_may_have_run_fail() -> None:
     time, worker, scheduler = started()
     sent, waiting = Answers(), Answers()
     scheduler.submit(job("a"), sent)
@@ -235,7 +235,7 @@
     time, _, scheduler = started()
 
     def broken(*_: Any) -> list[api.Action]:
-        raise KeyError("what was sought")
+        raise KeyError("missing")
 
     scheduler._dispatcher.handle = broken  # type: ignore[method-assign]
     scheduler.submit(job("a"), reply := Answers())
@@ -243,7 +243,7 @@
     assert reply.final == ["failed"] and not scheduler.unanswered
 
 
-def test_what_the_module_gives_up_on_is_answered_in_the_same_step() -> None:
+def test_a_job_that_the_dispatcher_gives_up_is_answered_in_the_same_step() -> None:
     time, _, scheduler = started()
     scheduler.on_list(api.WorkerList(api.ListKind.FULL))
     reply = Answers()
@@ -257,19 +257,19 @@
     assert reply.final == ["refused"] and refused_at is not None and refused_at < 500
 
 
-def test_nothing_is_sent_without_a_lease_and_held_jobs_go_out_once_it_is_renewed() -> None:
+def test_nothing_is_sent_without_a_lease_and_waiting_jobs_are_sent_once_it_is_renewed() -> None:
     time, worker, scheduler = started()
     worker.expired = True
     scheduler.submit(job("a"), reply := Answers())
     time.run(20 * MS)
     assert not worker.sent and not reply.final
     worker.expired = False
-    scheduler.on_list(api.WorkerList(api.ListKind.CHANGES))  # an answer without news
+    scheduler.on_list(api.WorkerList(api.ListKind.CHANGES))  # an answer without changes
     time.run(20 * MS)
     assert [a.job.identity for a in worker.sent] == ["a"]
 
 
-def test_a_job_without_a_lease_is_refused_in_time_and_says_when_to_come_back() -> None:
+def test_a_job_without_a_lease_is_refused_in_time_with_a_retry_after() -> None:
     time, worker, scheduler = started()
     worker.expired = True
     refused: list[timedelta] = []
@@ -285,7 +285,7 @@
     assert timedelta(0) < refused[0] <= timedelta(seconds=1)
 
 
-def test_a_lease_that_runs_out_while_a_connection_comes_up_stops_the_send() -> None:
+def test_a_lease_that_expires_while_a_connection_is_opened_stops_the_send() -> None:
     time, worker, scheduler = started()
     scheduler.submit(job("a"), Answers())
     time.run(10 * MS)
@@ -295,7 +295,7 @@
     assert not attempt.may_send()
 
 
-def test_the_end_of_a_lease_is_one_line_and_its_renewal_another() -> None:
+def test_the_expiry_of_a_lease_and_its_renewal_are_logged_once_each() -> None:
     time, worker, scheduler = started()
     time.run(10 * MS)
     with capture_logs() as logs:
@@ -311,7 +311,7 @@
 
 
 @pytest.mark.parametrize("alone", [False, True])
-def test_a_server_that_drained_stays_closed_once_it_is_gone_or_named_no_more(alone: bool) -> None:
+def test_a_drained_server_stays_excluded_once_it_is_gone_or_no_longer_listed(alone: bool) -> None:
     _, _, scheduler = started()
     scheduler.settings = replace(scheduler.settings, drain_binds_alone=alone)
     for kind, entries in (
@@ -325,7 +325,7 @@
     assert scheduler.may_send_to(1)
 
 
-def test_a_drain_told_while_a_job_is_held_keeps_it_from_that_server() -> None:
+def test_a_drain_received_while_a_job_waits_keeps_the_job_from_that_server() -> None:
     time, worker, scheduler = started()
     scheduler.on_list(api.WorkerList(api.ListKind.FULL))
     scheduler.submit(job("a"), Answers())
@@ -336,7 +336,7 @@
     assert [a.worker for a in worker.sent] == [2]
 
 
-def test_a_drain_told_between_an_attempt_and_its_retry_keeps_the_retry_from_that_server() -> None:
+def test_a_drain_received_before_a_retry_keeps_the_retry_from_that_server() -> None:
     time, worker, scheduler = started()
     scheduler.submit(job("a"), reply := Answers())
     time.run(10 * MS)
