--- a/tests/test_shutdown_refusals.py
+++ b/tests/test_shutdown_refusals.py
@@ -17,7 +17,7 @@
 import pytest
 from loopback import Answers, HttpWorker, free_port, http_post, run, until
 from test_program import HEADERS, SETTINGS, program
-from test_scheduler import MS, SITE, Worker
+from test_scheduler import MS, SITE, RecordingTransport
 
 from hazellead.core.jobs import Job
 from hazellead.core.scheduler import Scheduler
@@ -35,7 +35,7 @@
     """A scheduler with two classes of jobs and eight workers that begin each job at once."""
 
     def __init__(self) -> None:
-        self.time, self.worker = VirtualTime(), Worker()
+        self.time, self.worker = VirtualTime(), RecordingTransport()
         self.scheduler = Scheduler(
             MINUTES, 7, Limits(requests=100), self.time, self.time)  # type: ignore[arg-type]
         self.scheduler.connect(self.worker, self.worker)
