--- a/hazellead/net/server.py
+++ b/hazellead/net/server.py
@@ -140,7 +140,7 @@
         # A client that sends a flood and disconnects is noticed only once all its bytes are read, so reading
         # goes on and discards them. They cross the close that follows this answer.
         self.closing, self._discarded_bytes = True, self._discarded_bytes + len(data)
-        if self._discarded_bytes > self._server.limits.behind:
+        if self._discarded_bytes > self._server.limits.pipelined:
             exchange, self.exchange = self.exchange, None  # its job is abandoned, as after a disconnect
             if exchange and exchange.on_disconnect:
                 exchange.on_disconnect()
@@ -251,7 +251,7 @@
         if self.state is State.LINGERING:
             return limits.linger
         if self._stream.writing():
-            return limits.client_take
+            return limits.client_write
         return limits.client_idle if self.state is State.KEEP_ALIVE else limits.client_read
 
     def close_when_idle(self) -> None:
--- a/hazellead/platform/clients.py
+++ b/hazellead/platform/clients.py
@@ -9,7 +9,7 @@
 
 import structlog
 
-from hazellead.core.clock import span
+from hazellead.core.clock import from_us
 from hazellead.core.jobs import Job
 from hazellead.core.scheduler import Scheduler
 from hazellead.net.server import Exchange
@@ -126,16 +126,16 @@
         identity = headers.get("x-trace-id", "")
         if not _JOB_ID.match(identity):
             raise BadRequestError(400, "X-Trace-Id is missing or malformed")
-        if self._scheduler.has_taken(identity):
+        if self._scheduler.has_seen(identity):
             raise BadRequestError(409, "X-Trace-Id has been used")
         tenant_index = (
             name_index(self.names.tenants, headers.get("x-customer", "")) if self.names.tenants else 0)
         if tenant_index < 0:
             raise BadRequestError(400, "X-Customer is missing or unknown")
-        job_class = self._scheduler.generation.classes[class_index]
-        tenant = self._scheduler.generation.tenants[tenant_index] if self.names.tenants else 0
+        job_class = self._scheduler.generation.class_ids[class_index]
+        tenant = self._scheduler.generation.tenant_ids[tenant_index] if self.names.tenants else 0
         expires_in = headers.get("x-expires-in")
-        deadline = span(self._scheduler.settings.classes[job_class].deadline_us)
+        deadline = from_us(self._scheduler.settings.classes[job_class].deadline_us)
         remaining = deadline if expires_in is None else parse_span(expires_in)
         if remaining is None:
             raise BadRequestError(400, "X-Expires-In is malformed")
--- a/hazellead/platform/discovery.py
+++ b/hazellead/platform/discovery.py
@@ -304,7 +304,7 @@
         the second call of a watch may still be queued. If nothing arrives at all, the watch was broken and
         may have missed changes.
         """
-        span = self._limits.late_answer if call.on_live_watch else self._limits.longest_turn
+        span = self._limits.late_answer if call.on_live_watch else self._limits.queue_wait_max
         try:
             await asyncio.wait([pending_answer], timeout=span.total_seconds())
             failure = pending_answer.exception() if pending_answer.done() else TimeoutError()
@@ -338,7 +338,7 @@
         continued_watch = source.call is not None and source.call.continues_watch
         if self._pushed and continued_watch:
             return  # the agent has answered until now: the lease is lost soon after the watch
-        pause = min(self._limits.retry * source.failures, self._limits.retry_most)
+        pause = min(self._limits.retry * source.failures, self._limits.retry_max)
         await asyncio.sleep(pause.total_seconds() * (0.5 + self._rng.random() / 2))
 
     def _report_failure_to_lease(self, source: _Source, error: Exception) -> None:
@@ -356,7 +356,7 @@
             self._first_list.set()
         elif isinstance(error, TimeoutError):
             pass  # the connection was never established: proves nothing
-        elif now - call.sent_at <= limits.connect + limits.stall and not call.on_live_watch:
+        elif now - call.sent_at <= limits.connect + limits.process_stall and not call.on_live_watch:
             if isinstance(error, RefusedError):
                 self._lease.refused_at_once()
         elif not call.continues_watch:
@@ -372,7 +372,7 @@
         which it continues the watch.
         """
         if source.call and source.call.follows_answer:
-            remaining = self._limits.watch_pace - (self._clock.now() - source.call.sent_at)
+            remaining = self._limits.watch_interval - (self._clock.now() - source.call.sent_at)
             if remaining > timedelta(0):
                 await asyncio.sleep(remaining.total_seconds())
 
@@ -411,7 +411,7 @@
             source.connection = await self._connect(source.address, limits)
         assert source.connection
         if follows and (still_open or not self._pushed):
-            wait = limits.watch_least + (limits.watch_most - limits.watch_least) * self._rng.random()
+            wait = limits.watch_min + (limits.watch_max - limits.watch_min) * self._rng.random()
             span = wait + limits.watch_grace
         else:
             wait, span = streams.MS, limits.fetch * 2 ** min(max(0, source.unanswered - 1), _MOST_DOUBLINGS)
@@ -453,7 +453,8 @@
         """Raise ListError for a list older than the current one, or for changes to an unknown list.
 
         An older list, from a parallel call or from a discovery that lags, must not undo a drain. A discovery
-        that has sent only older lists for ``limits.older`` was set up anew, and its lists are accepted.
+        that has sent only older lists for ``limits.older_list_wait`` was set up anew, and its lists are
+        accepted.
         """
         if source.version is None:
             known = source.known_version
@@ -464,7 +465,7 @@
         if server_list.version >= source.version:
             return
         source.older_since = source.older_since or self._clock.now()
-        if self._clock.now() - source.older_since < self._limits.older:
+        if self._clock.now() - source.older_since < self._limits.older_list_wait:
             raise ListError(f"older than the current list ({server_list.version} < {source.version})")
 
     def _apply(self, server_list: ServerList, *, cached: bool = False) -> None:
--- a/hazellead/platform/workers.py
+++ b/hazellead/platform/workers.py
@@ -206,11 +206,11 @@
 
     # Hand-over of attempts from one process of a scheduler to the next.
 
-    def taken(self, attempt: Attempt) -> bool:
+    def accepted_by_worker(self, attempt: Attempt) -> bool:
         """Return whether its 202 has been received and it has not ended, so that only call-backs follow."""
         return attempt not in self.tasks and attempt.outcome is None
 
-    def leave(self, attempt: Attempt) -> None:
+    def detach(self, attempt: Attempt) -> None:
         """Forget an attempt that another process has taken over."""
         if endpoint := self._directory.endpoint(attempt.worker):
             self._attempts.pop((attempt.job.identity, endpoint.uid), None)
@@ -221,13 +221,13 @@
         assert endpoint
         key = (attempt.job.identity, endpoint.uid)
         if attempt.outcome is None:
-            attempt.heard, self._attempts[key] = True, attempt
+            attempt.reported, self._attempts[key] = True, attempt
         elif attempt.outcome is Outcome.FULL:
             self._remember_returned(key)
 
     def _remember_returned(self, key: tuple[str, str]) -> None:
         self._returned[key] = None
-        if len(self._returned) > self._limits.returned:
+        if len(self._returned) > self._limits.returned_jobs:
             self._returned.popitem(last=False)
 
     def probe(self, worker: int, done: Callable[[Outcome], None]) -> None:
@@ -251,7 +251,7 @@
         attempt = self._attempts.get((identity, sender))
         if attempt is None or attempt.outcome:
             return
-        attempt.heard = True
+        attempt.reported = True
         if state == "started":
             attempt.began()
         elif state == "running":
@@ -328,9 +328,9 @@
         reading = asyncio.ensure_future(connection.response(self._limits))
         try:
             await asyncio.wait([reading], timeout=self._limits.accept.total_seconds())
-            if reading.done() or not attempt.heard:
+            if reading.done() or not attempt.reported:
                 return await streams.within(timedelta(0), reading)
-            return await streams.within(attempt.until - self._clock.now() + self._limits.give_up, reading)
+            return await streams.within(attempt.until - self._clock.now() + self._limits.cancel, reading)
         except asyncio.CancelledError:
             # If the 202 has been received, closing the connection no longer stops the job.
             if reading.done() and not reading.cancelled() and not reading.exception():
@@ -340,7 +340,7 @@
             reading.cancel()
 
     async def _delete(self, endpoint: WorkerEndpoint, identity: str) -> None:
-        await self._request(endpoint, "DELETE", f"/jobs/{identity}", self._limits.give_up)
+        await self._request(endpoint, "DELETE", f"/jobs/{identity}", self._limits.cancel)
 
     async def _probe(self, worker: int, done: Callable[[Outcome], None]) -> None:
         endpoint = self._directory.endpoint(worker)
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -329,7 +329,7 @@
 
 def test_endless_flood_is_refused_and_its_request_abandoned() -> None:
     async def case() -> None:
-        limits = Limits(behind=300_000)
+        limits = Limits(pipelined=300_000)
         server, port = serving(limits)
         gone, client = await flooding_client(server, port, b"")
         most = [0]
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -159,10 +159,10 @@
 
 
 SHORT = replace(
-    Limits(), watch_least=timedelta(milliseconds=50), watch_most=timedelta(milliseconds=100),
-    watch_grace=timedelta(milliseconds=50), watch_pace=timedelta(milliseconds=20),
+    Limits(), watch_min=timedelta(milliseconds=50), watch_max=timedelta(milliseconds=100),
+    watch_grace=timedelta(milliseconds=50), watch_interval=timedelta(milliseconds=20),
     fetch=timedelta(milliseconds=400), retry=timedelta(milliseconds=40),
-    retry_most=timedelta(milliseconds=80))
+    retry_max=timedelta(milliseconds=80))
 
 
 def half_sent(writer: asyncio.StreamWriter, whole: bytes) -> None:
@@ -301,13 +301,13 @@
     """A silent watch ends after its wait and grace; the next call may be refused once and queued 2 s."""
     turn = timedelta(seconds=2)
     for limits in (Limits(), Limits.fit(256, 32, 100, timedelta(seconds=0.5), timedelta(seconds=5))):
-        given_up = limits.watch_most + limits.watch_grace
+        given_up = limits.watch_max + limits.watch_grace
         assert given_up + limits.retry + turn < timedelta(seconds=NOTIFIED_AFTER_S)
-        assert limits.watch_pace < timedelta(milliseconds=200)  # the next call continues the watch
+        assert limits.watch_interval < timedelta(milliseconds=200)  # the next call continues the watch
         # One unanswered call, then one that is answered.
         assert limits.fetch + turn < timedelta(seconds=NOTIFIED_AFTER_S)
         # After any number of failures, from discovery's return: the longest pause, one refusal and its turn.
-        assert limits.retry_most + limits.connect + limits.retry + turn < timedelta(seconds=NOTIFIED_AFTER_S)
+        assert limits.retry_max + limits.connect + limits.retry + turn < timedelta(seconds=NOTIFIED_AFTER_S)
 
 
 def test_an_outage_logs_one_line_and_its_end_another() -> None:
@@ -333,7 +333,7 @@
         discovery = QueuedDiscovery()
         discovery.rev, discovery.state = 7, "up"
         async with discovery.serving() as address:
-            s = Scheduler(address, replace(SHORT, older=timedelta(seconds=0.5)), 1)
+            s = Scheduler(address, replace(SHORT, older_list_wait=timedelta(seconds=0.5)), 1)
             await until(lambda: len(discovery.calls) > 2)
             calls, began = len(discovery.calls), time.monotonic()
             discovery.rev, discovery.state, discovery.resends_list = 3, "draining", True
@@ -355,7 +355,7 @@
             setattr(discovery, behaviour, True)
             calls, began = len(discovery.calls), time.monotonic()
             await until(lambda: len(discovery.calls) >= calls + 20)
-            pace = SHORT.watch_pace.total_seconds()
+            pace = SHORT.watch_interval.total_seconds()
             # All calls but the first start at least one pace after the previous one.
             assert time.monotonic() - began > (len(discovery.calls) - calls - 1) * pace
             began = time.monotonic()
