--- a/hazellead/core/scheduler.py
+++ b/hazellead/core/scheduler.py
@@ -14,11 +14,11 @@
 from hazellead.core.clock import EPOCH, Clock, span, to_us
 from hazellead.core.jobs import Attempt, ClientReply, Counted, Job, Tally, WorkerDirectory, WorkerTransport
 from hazellead.decide import interface as api
-from hazellead.decide.choice import Dispatcher
+from hazellead.decide.dispatcher import Dispatcher
 from hazellead.limits import Limits
 
 if TYPE_CHECKING:
-    from hazellead.decide.known import Known
+    from hazellead.decide.estimates import SharedEstimates
 
 log = structlog.get_logger()
 
@@ -109,7 +109,7 @@
         """Bring it in force for the jobs that come from now on."""
         self.generation, self.settings = generation, generation.settings
         self._tick = span(self.settings.tick_us)
-        self._put(api.Retuned(self.settings, generation.fresh))
+        self._put(api.SettingsChanged(self.settings, generation.fresh))
 
     @property
     def open_identities(self) -> frozenset[str]:
@@ -147,10 +147,11 @@
         self._bound(request)
         self._requests[request.number] = request
         self._identities.add(job.identity)
-        made = tuple(api.Made(a.worker, to_us(a.sent - EPOCH), to_us(a.began_at - EPOCH) if a.began_at else 0,
-                              a.outcome) for a in attempts)
+        made = tuple(api.PriorAttempt(
+            a.worker, to_us(a.sent - EPOCH), to_us(a.began_at - EPOCH) if a.began_at else 0, a.outcome,
+        ) for a in attempts)
         self._put(api.Arrival(
-            request.number, job.job_class, to_us(left), job.tenant, job.slots, made=made))
+            request.number, job.job_class, to_us(left), job.tenant, job.slots, prior_attempts=made))
 
     def abandon(self, number: int) -> None:
         """Note that the client has gone; the module decides what becomes of an attempt that is out."""
@@ -345,15 +346,15 @@
         """Return what a worker is called everywhere."""
         return self._directory.name(worker)
 
-    def known(self) -> "Known":
+    def known(self) -> "SharedEstimates":
         """Return what this scheduler's decisions have seen themselves."""
-        return self._dispatcher.known()
+        return self._dispatcher.export_estimates()
 
-    def learn(self, known: "Known") -> None:
+    def learn(self, known: "SharedEstimates") -> None:
         """Let the decisions take over what others have seen, of the list as it is now."""
         if self._events:
             self._step()
-        self._dispatcher.learn(known)
+        self._dispatcher.adopt_estimates(known)
 
     @property
     def listed_workers(self) -> tuple[int, int]:
@@ -373,7 +374,7 @@
         """Let the decisions know what another process of this scheduler has out."""
         for worker in self._elsewhere.keys() | out.keys():
             if (now := out.get(worker, (0, 0))) != self._elsewhere.get(worker, (0, 0)):
-                self._put(api.Elsewhere(worker, *now))
+                self._put(api.PredecessorLoad(worker, *now))
         self._elsewhere = out
 
     # From attempts.
@@ -504,7 +505,7 @@
         out = any(a.outcome is None for a in request.attempts)
         request.attempts.append(attempt)
         kind = request.job.job_class
-        most, copies = self.settings.attempts(kind), self.settings.copies(kind)
+        most, copies = self.settings.attempt_limit(kind), self.settings.allows_copies(kind)
         if number >= most or now >= until or (out and not copies) or (
                 not attempt.may_send()):
             attempt.end(api.Outcome.MOOT)
--- a/hazellead/decide/interface.py
+++ b/hazellead/decide/interface.py
@@ -1,10 +1,9 @@
-"""What a host and a dispatcher say to each other: settings, events and actions.
+"""The interface between a host and a dispatcher: settings, events and actions.
 
-A host creates one ``Dispatcher(settings, seed)`` for each dispatcher process and calls
-``handle(now_us, events)`` whenever something happened. It carries out the returned actions in order.
-The host owes the dispatcher three things: exactly one ``AttemptEnded`` for every ``Push``, a
-``TimerFired`` for every ``SetTimer`` no earlier than asked, and a clock that never runs backwards.
-All times are whole microseconds. Worker and request ids are opaque integers.
+A host creates one ``Dispatcher(settings, seed)`` for each dispatcher process. Whenever something happens, it
+calls ``handle(now_us, events)`` and carries out the returned actions in order. It guarantees exactly one
+``AttemptEnded`` for every ``Push``, a ``TimerFired`` for every ``SetTimer``, no earlier than requested, and a
+clock that never runs backwards. All times are whole microseconds. Worker and request ids are opaque integers.
 """
 
 from dataclasses import dataclass, field
@@ -12,63 +11,63 @@
 
 
 class Effect(Enum):
-    """What a repeat of a request would do."""
+    """Whether a request may be run more than once."""
 
-    SAFE = "safe"
-    KEYED = "keyed"
-    UNSAFE = "unsafe"
+    SAFE = "safe"  # at any worker
+    KEYED = "keyed"  # at workers of one group, which drop repeats by its key until that expires
+    UNSAFE = "unsafe"  # never
 
 
 class Outcome(Enum):
     """How an attempt or a probe ended."""
 
     SERVED = "served"
-    ERROR = "error"
-    FULL = "full"
+    ERROR = "error"  # the worker answered with an error
+    FULL = "full"  # the worker refused it for want of a free slot
     TIMED_OUT = "timed out"
     CONNECT_FAILED = "connect failed"
-    RESET = "reset"
+    RESET = "reset"  # the connection broke
     CANCELLED = "cancelled"
-    MOOT = "moot"
+    MOOT = "moot"  # it was never sent
 
 
 class ListKind(Enum):
-    """What a ``WorkerList`` holds."""
+    """The kind of a ``WorkerList``."""
 
     CHANGES = "changes"
     FULL = "full"
-    CACHED = "cached"
-    FAILED = "failed"
+    CACHED = "cached"  # a full list, perhaps out of date
+    FAILED = "failed"  # no list: asking for it failed
 
 
 class Phase(Enum):
-    """Where a worker stands in its life."""
+    """A worker's state in the worker list."""
 
     READY = "ready"
-    DRAINING = "draining"
-    GONE = "gone"
+    DRAINING = "draining"  # it finishes its jobs and gets no new ones
+    GONE = "gone"  # no longer listed
 
 
-NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})
+NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})  # the job has certainly not run
 FAULTS = frozenset({Outcome.ERROR, Outcome.TIMED_OUT, Outcome.CONNECT_FAILED, Outcome.RESET})
-ANSWERED = frozenset({Outcome.SERVED, Outcome.FULL, Outcome.ERROR})
+ANSWERED = frozenset({Outcome.SERVED, Outcome.FULL, Outcome.ERROR})  # the connection can be used again
 
 
 @dataclass(slots=True, frozen=True)
 class JobClass:
-    """One class of request. ``stretch`` times the job's own run time is added to ``aim_us``."""
+    """One class of request. An answer is in time within ``aim_us`` plus ``stretch`` times the run time."""
 
     aim_us: int
     deadline_us: int
     effect: Effect = Effect.SAFE
-    group: str = "all"
-    key_ttl_us: int = 0
+    group: str = "all"  # the workers that share keys of KEYED requests: "all", of one "zone", of one "cell"
+    key_ttl_us: int = 0  # how long such a key is valid
     stretch: float = 0.0
-    late_worth: float = 0.0
+    late_worth: float = 0.0  # worth of an answer after the aim; 0: such a job is refused
     worth: float = 1.0
-    kind: int = -1
-    max_attempts: int = 0  # 0: as the settings say for all
-    alone: bool = False  # two attempts at once are not allowed, whatever the settings say for others
+    kind: int = -1  # the kind of worker that can run it; -1: any
+    max_attempts: int = 0  # 0: ``Settings.max_attempts``
+    alone: bool = False  # no two attempts at once, even with ``Settings.may_duplicate``
 
 
 @dataclass(slots=True, frozen=True)
@@ -81,48 +80,48 @@
 
 @dataclass(slots=True, frozen=True)
 class Settings:
-    """All that a dispatcher is told at its start."""
+    """The settings of one dispatcher. Prices are in points, all on one scale."""
 
     classes: tuple[JobClass, ...]
     tenants: tuple[Tenant, ...] = ()
-    dispatchers: int = 1
-    number: int = 0
+    dispatchers: int = 1  # in the whole fleet
+    number: int = 0  # of this dispatcher among them
     zone: int = 0
-    tick_us: int = 1000
-    max_attempts: int = 1
-    may_duplicate: bool = False
+    tick_us: int = 1000  # shortest time between two steps
+    max_attempts: int = 1  # for a request
+    may_duplicate: bool = False  # two attempts of a request may be open at once
     may_probe: bool = False
     may_cancel: bool = False
-    reports: bool = True  # workers report their load at all
-    reports_by_probe: bool = False
-    tells_start: bool = False
-    must_ask: bool = True
-    ask_within_us: int = 10_000_000
+    reports: bool = True  # workers report their load
+    reports_by_probe: bool = False  # they report it when probed
+    tells_start: bool = False  # a ``JobBegan`` comes for each job
+    must_ask: bool = True  # the worker list comes only after a ``Subscribe`` action
+    ask_within_us: int = 10_000_000  # time from the start within which to subscribe
     connect_timeout_us: int = 250_000
     max_retry_after_us: int = 1_000_000
-    cold_from: float = 1.0
-    warm_up_us: int = 0
-    fall_multiple: float = 1.0
+    cold_from: float = 1.0  # part of its capacity that a worker has at its start
+    warm_up_us: int = 0  # time from its start to its full capacity
+    fall_multiple: float = 1.0  # a worker fails if in ``fall_us`` it gets this multiple of what it can run
     fall_us: int = 1_000_000
     probe_price: float = 0.0
-    cross_zone_price: float = 0.0
-    handshake_price: float = 0.0
-    conn_idle_us: int = 10_000_000
-    release_within_us: int = 0  # 0: idle connections to a draining worker may stay
-    drain_grace_us: int = 400_000  # for which sends may go on after word of a drain or a removal
-    drain_binds_alone: bool = False  # only a worker listed as draining is closed to us, not one called gone
-
-    def attempts(self, job_class: int) -> int:
+    cross_zone_price: float = 0.0  # of an attempt at a worker of another zone
+    handshake_price: float = 0.0  # of a new connection
+    conn_idle_us: int = 10_000_000  # a connection that has idled for longer is not used again
+    release_within_us: int = 0  # to close idle connections to a draining worker; 0: they may stay
+    drain_grace_us: int = 400_000  # sends may go on for this long after the notice of a drain or a removal
+    drain_binds_alone: bool = False  # workers listed as gone may still be used, only draining ones may not
+
+    def attempt_limit(self, job_class: int) -> int:
         """Return how many attempts a job of a class may have."""
         return self.classes[job_class].max_attempts or self.max_attempts
 
-    def copies(self, job_class: int) -> bool:
-        """Say whether a job of a class may have two attempts at once."""
+    def allows_copies(self, job_class: int) -> bool:
+        """Return whether a job of a class may have two attempts at once."""
         kind = self.classes[job_class]
         return self.may_duplicate and not kind.alone and kind.effect is not Effect.UNSAFE
 
     def __post_init__(self) -> None:
-        """Refuse settings that no dispatcher could act on."""
+        """Raise ValueError with the name of the first setting that is out of range."""
         checks = (
             ("classes", len(self.classes) > 0),
             ("classes.aim_us", all(c.aim_us >= 0 for c in self.classes)),
@@ -149,7 +148,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Report:
-    """What a worker says of its load; ``None`` where it does not say."""
+    """A worker's load as it reports it; None for a figure that it does not report."""
 
     free_slots: float | None = None
     inflight: float | None = None
@@ -171,15 +170,15 @@
 
 @dataclass(slots=True, frozen=True)
 class WorkerList:
-    """The worker list, or changes to it, or word that asking for it failed."""
+    """The worker list, changes to it, or the notice that asking for it failed."""
 
     kind: ListKind
     entries: tuple[WorkerEntry, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
-class Made:
-    """An attempt that the process before this one has made; ``began_us`` 0: no start has been reported."""
+class PriorAttempt:
+    """An attempt made by the process before this one; ``began_us`` is 0 if no start has been reported."""
 
     worker: int
     sent_us: int
@@ -189,10 +188,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Arrival:
-    """A request has come in; one final answer is owed within ``remaining_us``.
+    """A request has arrived; it needs one final answer within ``remaining_us``.
 
-    One that another process of this dispatcher has passed on comes with the attempts ``made``, one of which
-    is out at least; they count from 0 as pushes do, and an ``AttemptEnded`` is owed for each that is out.
+    A request passed on by the process before this one comes with ``prior_attempts``, at least one of them
+    open. They are numbered from 0, as pushes are, and an ``AttemptEnded`` follows for each open one.
     """
 
     request: int
@@ -200,13 +199,13 @@
     remaining_us: int
     tenant: int = 0
     slots: float = 1.0
-    hint_us: int = 0
-    made: tuple[Made, ...] = ()
+    hint_us: int = 0  # expected run time; 0: unknown
+    prior_attempts: tuple[PriorAttempt, ...] = ()
 
 
 @dataclass(slots=True, frozen=True)
 class JobBegan:
-    """A worker has begun, or is still at, an attempt."""
+    """A worker has begun to run an attempt's job, or is still running it."""
 
     request: int
     attempt: int
@@ -215,7 +214,7 @@
 
 @dataclass(slots=True, frozen=True)
 class AttemptEnded:
-    """An attempt is over. ``complete`` says that the request is, too."""
+    """An attempt has ended; with ``complete`` its request has ended, too."""
 
     request: int
     attempt: int
@@ -228,14 +227,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Abandoned:
-    """The client is gone; nothing more is owed."""
+    """The client is gone; its request needs no answer any more."""
 
     request: int
 
 
 @dataclass(slots=True, frozen=True)
 class ProbeEnded:
-    """A probe is over."""
+    """A probe has ended."""
 
     worker: int
     outcome: Outcome
@@ -251,25 +250,25 @@
 
 
 @dataclass(slots=True, frozen=True)
-class Retuned:
-    """Other settings are in force. Classes and tenants keep their numbers, but for classes in ``fresh``."""
+class SettingsChanged:
+    """New settings are in force. Classes and tenants keep their numbers, except ``new_classes``."""
 
     settings: Settings
-    fresh: frozenset[int] = frozenset()
+    new_classes: frozenset[int] = frozenset()
 
 
 @dataclass(slots=True, frozen=True)
-class Elsewhere:
-    """What the process whose place this one has taken still has out at a worker; ``waiting``: not begun."""
+class PredecessorLoad:
+    """Slots that the process before this one uses at a worker, and its jobs there that have not begun."""
 
     worker: int
-    held: float
-    waiting: int
+    slots: float
+    unstarted: int
 
 
 @dataclass(slots=True, frozen=True)
 class LeaseChanged:
-    """The lease on the worker list has run out, or has been renewed; without it nothing may be pushed."""
+    """The lease on the worker list has expired or been renewed; without it nothing may be pushed."""
 
     held: bool
 
@@ -281,13 +280,13 @@
     token: int
 
 
-Event = (WorkerList | Arrival | JobBegan | AttemptEnded | Abandoned | ProbeEnded | PeerMessage | Retuned
-         | Elsewhere | LeaseChanged | TimerFired)
+Event = (WorkerList | Arrival | JobBegan | AttemptEnded | Abandoned | ProbeEnded | PeerMessage
+         | SettingsChanged | PredecessorLoad | LeaseChanged | TimerFired)
 
 
 @dataclass(slots=True, frozen=True)
 class Push:
-    """Send an attempt; attempts of a request count from 0 in this order. 0 us: until the client gives up."""
+    """Send an attempt; a request's are numbered from 0 in this order. Timeout 0: the client's deadline."""
 
     request: int
     worker: int
@@ -296,7 +295,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Refuse:
-    """Final answer: not now, and a further try is harmless."""
+    """Final answer: refused; the job has not run, and the client may try again after ``retry_after_us``."""
 
     request: int
     retry_after_us: int = 0
@@ -304,14 +303,14 @@
 
 @dataclass(slots=True, frozen=True)
 class Fail:
-    """Final answer: failed; the effect may have happened."""
+    """Final answer: failed; the job may have run."""
 
     request: int
 
 
 @dataclass(slots=True, frozen=True)
 class Cancel:
-    """Stop waiting for one attempt."""
+    """Cancel one open attempt."""
 
     request: int
     attempt: int
@@ -319,7 +318,7 @@
 
 @dataclass(slots=True, frozen=True)
 class SetTimer:
-    """Ask for a ``TimerFired``."""
+    """Request a ``TimerFired`` with this token after ``after_us``."""
 
     after_us: int
     token: int
@@ -327,7 +326,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Probe:
-    """Ask a worker for its load."""
+    """Ask a worker for its load; a ``ProbeEnded`` follows."""
 
     worker: int
 
@@ -341,12 +340,12 @@
 
 @dataclass(slots=True, frozen=True)
 class Subscribe:
-    """Ask for the worker list and for its changes from now on."""
+    """Request the worker list and, from now on, its changes."""
 
 
 @dataclass(slots=True, frozen=True)
 class FetchList:
-    """Ask for the whole worker list once."""
+    """Request the whole worker list once."""
 
 
 @dataclass(slots=True, frozen=True)
--- a/hazellead/decide/records.py
+++ b/hazellead/decide/records.py
@@ -1,4 +1,4 @@
-"""What a dispatcher keeps of each attempt, request and worker. Plain data; the decisions are in choice.py."""
+"""State that a dispatcher keeps of each attempt, request and worker. The decisions are in dispatcher.py."""
 
 from collections.abc import Sequence
 from dataclasses import dataclass, field
@@ -7,184 +7,192 @@
 from hazellead.decide import interface as api
 
 if TYPE_CHECKING:
-    from hazellead.decide import known as door
+    from hazellead.decide import estimates as shared
 
 
 @dataclass(slots=True)
-class Mean:
-    """A running average that starts at a given value and counts it as one observation."""
+class RunningMean:
+    """A running average; its initial value counts as one observation unless ``count`` starts at 0."""
 
     value: float = 1.0
     count: int = 1
 
-    def add(self, seen: float, least: float) -> None:
-        """Take one observation in; none weighs less than ``least``."""
+    def add(self, observed: float, min_weight: float) -> None:
+        """Add an observation with weight 1 / count, but at least ``min_weight``."""
         self.count += 1
-        self.value += max(1 / self.count, least) * (seen - self.value)
+        self.value += max(1 / self.count, min_weight) * (observed - self.value)
 
 
-class Learned:
-    """A running average that may start from what others have seen, and a longer one of what was seen here."""
+class MeanWithPrior:
+    """A running average that can start from a prior value, such as other dispatchers' estimate.
 
-    __slots__ = ("at", "given", "rest", "seen", "value", "weight")
+    The mean of the observations made here alone is kept beside it, for export.
+    """
+
+    __slots__ = ("own_mean", "prior", "prior_share", "prior_weight", "updated_at", "value")
 
     def __init__(self, value: float) -> None:
-        """Start from a value that nothing stands behind."""
-        self.value = self.given = value
-        self.rest = 1.0  # the part of the value that is still what it was given
-        self.weight = 0.0  # observations that stand behind what it was given
-        self.seen = Mean(0.0, 0)  # here alone, for others
-        self.at = 0
+        """Start from a value without evidence."""
+        self.value = self.prior = value
+        self.prior_share = 1.0  # weight of the prior in the value
+        self.prior_weight = 0.0  # number of observations behind the prior
+        self.own_mean = RunningMean(0.0, 0)  # of the observations made here
+        self.updated_at = 0
+
+    def add(self, observed: float, weight: float, now: int, min_weight: float) -> None:
+        """Add an observation with a weight; one beside a prior with evidence weighs no more than its part.
 
-    def add(self, seen: float, weight: float, now: int, least: float) -> None:
-        """Take one observation in: with its weight, or, where others' stand behind it, as one of them all."""
-        self.seen.add(seen, least)
-        if self.weight:
-            weight = min(weight, max(1 / (self.weight + self.seen.count), least))
-        self.value += weight * (seen - self.value)
-        self.rest, self.at = self.rest * (1 - weight), now
+        Its part is one of all observations, here and behind the prior, but at least ``min_weight``.
+        """
+        self.own_mean.add(observed, min_weight)
+        if self.prior_weight:
+            weight = min(weight, max(1 / (self.prior_weight + self.own_mean.count), min_weight))
+        self.value += weight * (observed - self.value)
+        self.prior_share, self.updated_at = self.prior_share * (1 - weight), now
 
-    def base(self, given: "door.Estimate") -> None:
-        """Change what it was given; what was seen here keeps its part."""
-        self.value += self.rest * (given.value - self.given)
-        self.given, self.weight = given.value, given.weight
+    def set_prior(self, prior: "shared.Estimate") -> None:
+        """Replace the prior; the observations made here keep their weight."""
+        self.value += self.prior_share * (prior.value - self.prior)
+        self.prior, self.prior_weight = prior.value, prior.weight
 
-    def own(self) -> "door.Estimate":
-        """Return what was seen here alone."""
-        from hazellead.decide import known as door
+    def own_estimate(self) -> "shared.Estimate":
+        """Return the mean of the observations made here, without the prior."""
+        from hazellead.decide import estimates as shared
 
-        return door.Estimate(self.seen.value, self.seen.count, self.at)
+        return shared.Estimate(self.own_mean.value, self.own_mean.count, self.updated_at)
 
 
 @dataclass(slots=True, eq=False)
 class Request:
-    """One request that still waits for its final answer."""
+    """One request without a final answer yet."""
 
     id: int
     job_class: int
     slots: float
     tenant: int
-    arrived: int
-    useful: int  # past it, an attempt comes late
-    last: int  # past it, an attempt earns nothing any more
-    hint: int  # its expected run time, where the client gave one
+    arrived_at: int
+    late_at: int  # an attempt that starts later comes late
+    useless_at: int  # an attempt that starts later is worth nothing
+    hint_us: int  # expected run time; 0: the client gave none
     attempts: list["Attempt"] = field(default_factory=list)
 
-    def tied(self) -> list["Attempt"]:
+    def maybe_ran(self) -> list["Attempt"]:
         """Return the attempts that may have run or may still run."""
         return [a for a in self.attempts if a.outcome not in api.NEVER_RAN]
 
-    def adopt(
-        self, made: Sequence[api.Made], workers: "dict[int, Worker]", now: int, slots: float,
+    def adopt_attempts(
+        self, prior: Sequence[api.PriorAttempt], workers: "dict[int, Worker]", now: int, slots: float,
     ) -> "dict[tuple[int, int], Attempt]":
-        """Take over the attempts that another process has made; return those that are out.
+        """Take over the attempts that another process has made; return the open ones by request and number.
 
-        A worker that no list has named here may have one; it is held to be gone.
+        An open attempt's worker that no list has named here is added to ``workers`` as gone.
         """
-        self.attempts = [Attempt(self, m.worker, m.sent_us, False, 1, m.began_us, m.outcome) for m in made]
-        out = {(self.id, n): a for n, a in enumerate(self.attempts) if a.outcome is None}
-        for key, attempt in out.items():
+        self.attempts = [Attempt(self, p.worker, p.sent_us, False, 1, p.began_us, p.outcome) for p in prior]
+        open_attempts = {(self.id, n): a for n, a in enumerate(self.attempts) if a.outcome is None}
+        for key, attempt in open_attempts.items():
             gone = api.WorkerEntry(attempt.worker, phase=api.Phase.GONE)
-            w = workers.setdefault(attempt.worker, Worker(gone, now, 0, now, known=False, slots=slots))
-            w.held += self.slots
-            if not attempt.began:
+            w = workers.setdefault(attempt.worker, Worker(gone, now, 0, now, proven=False, slots=slots))
+            w.own_slots += self.slots
+            if not attempt.began_at:
                 w.unstarted.add(key)
-        return out
+        return open_attempts
 
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One push and what became of it."""
+    """One push and its outcome; None while it is open."""
 
     request: Request
     worker: int
-    sent: int
-    crossed: bool  # it left our zone
-    idle: int  # how long its connection had been idle; 0: a new one
-    began: int = 0
+    sent_at: int
+    crossed: bool  # to a worker of another zone
+    idle_us: int  # how long its connection had been idle; 0: a new connection
+    began_at: int = 0  # 0: no start has been reported
     outcome: api.Outcome | None = None
 
 
-_THEIRS = (-1, 0)  # stands in ``unstarted`` for jobs of another process
+_PREDECESSOR_JOBS = (-1, 0)  # key in ``unstarted`` that stands for jobs of the process before this one
 
-# What a process that takes the place of ours goes on with: caution, and the budgets of cold workers.
-OWN = ("cold_since", "tickets", "drawn_until", "blame", "failures", "fulls", "full_until", "next_trial",
-       "broke", "failed", "vouched", "slots")
+# The fields of a worker that a successor process takes over: caution, and the budgets of cold workers.
+# Their values go to the successor in this order.
+INHERITED_FIELDS = (
+    "cold_since", "window_pushes", "window_until", "blame", "failures", "full_refusals", "full_until",
+    "next_trial", "broke_at", "failed_at", "confirmed_at", "slots")
 
 
 @dataclass(slots=True, eq=False)
 class Worker:
-    """What is known of one worker."""
+    """State and estimates of one worker."""
 
     entry: api.WorkerEntry
-    seen: int  # when its running figures were last brought up to date
-    cold_since: int
-    vouched: int  # when the list last named it ready, or it last served us
-    known: bool = True  # it was in our first list, has served us or has answered a probe
-    drained: int = -1  # the start for which it was listed as draining; a later start lifts it
-    held: float = 0.0  # slots in use by us
-    theirs: float = 0.0  # slots in use by the process whose place ours has taken
-    others: float = 0.0  # slots in use by other dispatchers, as its reports tell
-    slots: float = 2.0  # as reports tell (``told``); where none does, by accepts and refusals
-    told: bool = False
-    speed: Learned = field(default_factory=lambda: Learned(1.0))  # run times here over run times anywhere
-    timed: int = 0  # run times that went into ``speed``; 1 at least where others' have
-    period: float = 1e6  # time between reports
-    idle: list[int] = field(default_factory=list)  # since when each of our open connections idles
-    tickets: int = 0  # pushes left in this window while it is cold
-    drawn_until: int = 0
-    blame: float = 0.0
-    silence: float = 0.0
-    wait: Learned = field(default_factory=lambda: Learned(0.0))  # how long jobs waited there for their start
+    silence_at: int  # when ``silence`` was last brought up to date
+    cold_since: int  # its last restart, as listed or as seen here
+    confirmed_at: int  # when the list last named it ready, or it last served a job of this dispatcher
+    proven: bool = True  # it was in the first list, has served a job or has answered a probe
+    drain_start: int = -1  # started_us with which it was listed as draining; a later start lifts the drain
+    own_slots: float = 0.0  # slots in use by this dispatcher
+    predecessor_slots: float = 0.0  # slots in use by the process before this one
+    other_slots: float = 0.0  # slots in use by other dispatchers, from its reports
+    slots: float = 2.0  # from reports (``slots_reported``), else from accepted and refused jobs
+    slots_reported: bool = False
+    pace_mean: MeanWithPrior = field(default_factory=lambda: MeanWithPrior(1.0))  # see ``pace``
+    timed_runs: int = 0  # run times that went into ``pace_mean``; at least 1 once a prior was adopted
+    report_period_us: float = 1e6  # mean time between new reports
+    idle_since: list[int] = field(default_factory=list)  # for each idle connection to it
+    window_pushes: int = 0  # pushes left in this window while it is cold
+    window_until: int = 0  # end of this window; 0: none has begun
+    blame: float = 0.0  # for faults; halved by each served job and before each addition
+    silence: float = 0.0  # work unanswered since the last sign of serving, in mean run times
+    start_wait: MeanWithPrior = field(default_factory=lambda: MeanWithPrior(0.0))  # us from push to start
     failures: int = 0
-    fulls: int = 0  # refusals as full since it last served
-    full_until: int = 0
-    next_trial: int = 0
-    asked: int = 0  # when it was last probed
-    changed: int = 0  # when its last new report came
+    full_refusals: int = 0  # since it last served
+    full_until: int = 0  # nothing is pushed before
+    next_trial: int = 0  # earliest time of its next trial job or probe
+    probed_at: int = 0
+    reported_at: int = 0  # when its last new report came
     report: api.Report | None = None
-    broke: int = 0  # when it broke before our eyes
-    failed: int = 0  # when it last failed
-    erred: bool = False  # its last failure was an error that it answered with, no fault of a connection
-    guessed: float = 0.0  # slots that others have told and nothing here has borne out
-    unstarted: set[tuple[int, int]] = field(default_factory=set)
+    broke_at: int = 0  # when broken connections here last made it count as restarted
+    failed_at: int = 0
+    failed_by_error: bool = False  # its last failure was an error answer, not a fault of a connection
+    adopted_slots: float = 0.0  # slots adopted from others and not confirmed here
+    unstarted: set[tuple[int, int]] = field(default_factory=set)  # attempts there that have not begun
 
     @property
     def pace(self) -> float:
-        """Return run times here over run times anywhere."""
-        return self.speed.value
+        """Return its run times over those of all workers: above 1 where it is slow."""
+        return self.pace_mean.value
 
-    def warms(self, now: int, warm_up_us: int) -> bool:
-        """Say whether its last start is known and may still leave it cold."""
+    def is_warming(self, now: int, warm_up_us: int) -> bool:
+        """Return whether its last start is known and so recent that it may still be cold."""
         return 0 < self.cold_since > now - warm_up_us
 
-    def keeps(self, now: int, within_us: float) -> bool:
-        """Say whether we have a connection open there that has idled for less than that."""
-        return bool(self.idle) and self.idle[-1] > now - within_us
-
-    def seen_here(self) -> "door.KnownWorker":
-        """Return what was seen of it here."""
-        from hazellead.decide import known as door
-
-        own = self.speed.own()
-        draining = self.drained >= 0 and self.drained == self.entry.started_us
-        return door.KnownWorker(
-            self.entry.worker, self.entry.started_us, own, self.wait.own(),
-            slots=door.Estimate(self.slots, own.weight * (self.slots != self.guessed), own.at_us),
-            blame=door.Estimate(self.blame, min(self.failures, 8), self.failed),
-            broke=door.Estimate(1.0, self.broke > self.entry.started_us, self.broke),
-            drain=door.Estimate(1.0, draining, self.seen),
-            own=tuple(getattr(self, name) for name in OWN))
-
-    def elsewhere(self, held: float, waiting: int) -> None:
-        """Note what the process whose place ours has taken still has there, and what has not begun of it."""
-        self.theirs = held
-        if waiting:
-            self.unstarted.add(_THEIRS)
+    def has_idle_connection(self, now: int, within_us: float) -> bool:
+        """Return whether there is an idle connection to it that has idled for less than ``within_us``."""
+        return bool(self.idle_since) and self.idle_since[-1] > now - within_us
+
+    def export_estimates(self) -> "shared.WorkerEstimates":
+        """Return the estimates that rest on observations made here."""
+        from hazellead.decide import estimates as shared
+
+        own = self.pace_mean.own_estimate()
+        draining = self.drain_start >= 0 and self.drain_start == self.entry.started_us
+        return shared.WorkerEstimates(
+            self.entry.worker, self.entry.started_us, own, self.start_wait.own_estimate(),
+            slots=shared.Estimate(self.slots, own.weight * (self.slots != self.adopted_slots), own.at_us),
+            blame=shared.Estimate(self.blame, min(self.failures, 8), self.failed_at),
+            broke=shared.Estimate(1.0, self.broke_at > self.entry.started_us, self.broke_at),
+            drain=shared.Estimate(1.0, draining, self.silence_at),
+            own=tuple(getattr(self, name) for name in INHERITED_FIELDS))
+
+    def note_predecessor_load(self, slots: float, unstarted: int) -> None:
+        """Store the slots that the process before this one still uses there, and whether any job waits."""
+        self.predecessor_slots = slots
+        if unstarted:
+            self.unstarted.add(_PREDECESSOR_JOBS)
         else:
-            self.unstarted.discard(_THEIRS)
+            self.unstarted.discard(_PREDECESSOR_JOBS)
 
-    def inherit(self, own: tuple[float, ...]) -> None:
-        """Go on where the process before left off: what it blamed is blamed, what it spent is spent."""
-        for name, value in zip(OWN, own, strict=False):
+    def inherit(self, values: tuple[float, ...]) -> None:
+        """Take over the predecessor's values of INHERITED_FIELDS, so that blame and spent budgets stay."""
+        for name, value in zip(INHERITED_FIELDS, values, strict=False):
             setattr(self, name, type(getattr(self, name))(value))
--- a/hazellead/lab/capacity/alone.py
+++ b/hazellead/lab/capacity/alone.py
@@ -273,10 +273,11 @@
         self.time.run_us(self.shape.deadline_us + 10 * US)
         s, d = self.scheduler, self.meter
         return {"requests": len(s._requests), "identities": len(s._identities), "running": len(self.running),
-                "module_requests": len(d.requests), "flying": len(d.flying), "again": len(d.again),
-                "late": len(d.late), "checks": len(d.checks), "held": sum(len(t.held) for t in d.tenants),
+                "module_requests": len(d.requests), "flying": len(d.open_attempts),
+                "again": len(d.retry_queue), "late": len(d.late_queue), "checks": len(d.copy_checks),
+                "held": sum(len(t.buffered) for t in d.tenants),
                 "unstarted": sum(len(w.unstarted) for w in d.workers.values()),
-                "slots_held": round(sum(w.held for w in d.workers.values()))}
+                "slots_held": round(sum(w.own_slots for w in d.workers.values()))}
 
 
 def reached(scheduler: Scheduler) -> int:
--- a/hazellead/lab/capacity/table.py
+++ b/hazellead/lab/capacity/table.py
@@ -96,7 +96,7 @@
         "scheduler",
         "decisions",
         "Scheduler: decisions",
-        "`decide/choice.py`, `decide/records.py`",
+        "`decide/dispatcher.py`, `decide/records.py`",
         ("state", "state_bytes", "cpu"),
         ("decisions", "module"),
     ),
--- a/hazellead/lab/capacity/virtual_world.py
+++ b/hazellead/lab/capacity/virtual_world.py
@@ -16,7 +16,7 @@
 from hazellead.core.jobs import Job
 from hazellead.core.scheduler import Scheduler
 from hazellead.decide import interface as api
-from hazellead.decide.choice import Dispatcher
+from hazellead.decide.dispatcher import Dispatcher
 from hazellead.lab.fleet import US, Work, WorkerSpec, settings_for
 from hazellead.lab.worker import WorkerModel
 from hazellead.lab.world import Instance, Plan, World
@@ -117,9 +117,9 @@
             self.counts[kind] = self.counts.get(kind, 0) + 1
         return actions
 
-    def _fits(self, r: Any, some: Sequence[Any], limit: float, blind: bool) -> list[Any]:
+    def _candidates(self, r: Any, some: Sequence[Any], limit: float, blind: bool) -> list[Any]:
         self.looks += len(some)  # candidates looked at for a job
-        return super()._fits(r, some, limit, blind)
+        return super()._candidates(r, some, limit, blind)
 
     def reset(self) -> None:
         """Count from here."""
--- a/hazellead/lab/measure_learning.py
+++ b/hazellead/lab/measure_learning.py
@@ -15,7 +15,7 @@
 from typing import Any
 
 from hazellead.decide import interface as api
-from hazellead.decide.known import Estimate, Known
+from hazellead.decide.estimates import Estimate, SharedEstimates
 from hazellead.lab.clients import Stream, Surge
 from hazellead.lab.fleet import US, Work
 from hazellead.lab.learners import Learners
@@ -227,11 +227,11 @@
         """Lie for this one."""
         self._scheduler, self.settings = scheduler, scheduler.settings
 
-    def known(self) -> Known:
+    def known(self) -> SharedEstimates:
         """Call fast workers slow and slow ones fast, and all of them broken and draining."""
         now = max([w.pace.at_us for w in self._scheduler.known().workers], default=0)
         much = 1e6
-        return Known(workers=tuple(
+        return SharedEstimates(workers=tuple(
             replace(w, pace=Estimate(50.0 if w.worker % 2 else 0.02, much, now + 10**9),
                     slots=Estimate(1e6, much, now), delay=Estimate(6e8 if w.worker % 3 else 0.0, much, now),
                     blame=Estimate(64.0, much, now), broke=Estimate(1.0, much, now),
@@ -239,7 +239,7 @@
             for w in self._scheduler.known().workers),
             runs=(Estimate(1.0, much, now),), factor=Estimate(100.0, much, now))
 
-    def learn(self, known: Known) -> None:
+    def learn(self, known: SharedEstimates) -> None:
         """Take over what others know: it serves as well as any."""
         self._scheduler.learn(known)
 
@@ -318,7 +318,7 @@
     import trustme
 
     from hazellead.core.clock import Clock
-    from hazellead.decide.known import KnownWorker
+    from hazellead.decide.estimates import WorkerEstimates
     from hazellead.lab.fleet import draw_fleet, settings_for
     from hazellead.learning.door import Names
     from hazellead.peers.config import read
@@ -335,13 +335,14 @@
         def __init__(self, *, new: bool) -> None:
             self.new, self.facts = new, 0
 
-        def known(self) -> Known:
+        def known(self) -> SharedEstimates:
             if self.new:
-                return Known()
+                return SharedEstimates()
             now = Clock().now_us()
-            return Known(tuple(KnownWorker(w.number, 0, pace=Estimate(1 / w.speed, 40, now)) for w in fleet))
+            return SharedEstimates(tuple(
+                WorkerEstimates(w.number, 0, pace=Estimate(1 / w.speed, 40, now)) for w in fleet))
 
-        def learn(self, known: Known) -> None:
+        def learn(self, known: SharedEstimates) -> None:
             self.facts = max(self.facts, sum(w.pace.weight > 0 for w in known.workers))
 
         @property
--- a/hazellead/learning/door.py
+++ b/hazellead/learning/door.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from hazellead.core.clock import to_us
-from hazellead.decide.known import Estimate, Known, KnownWorker
+from hazellead.decide.estimates import Estimate, SharedEstimates, WorkerEstimates
 from hazellead.learning.facts import (
     MOST_WEIGHT,
     OFFSETS,
@@ -48,7 +48,7 @@
     tenants: tuple[str, ...]
 
 
-def drafts(state: Known, names: Names, workers: Iterable[Listed], me: str, now: int) -> list[Draft]:
+def drafts(state: SharedEstimates, names: Names, workers: Iterable[Listed], me: str, now: int) -> list[Draft]:
     """Return what a dispatcher has itself observed, as drafts."""
     out: list[Draft] = []
     seen = {w.worker: w for w in state.workers}
@@ -124,8 +124,8 @@
         return Estimate(value, max(weights.values()), min(at, now))
 
     def known(
-        self, workers: Sequence[Listed], now: int, defaults: Known, quotas: Sequence[float],
-    ) -> Known:
+        self, workers: Sequence[Listed], now: int, defaults: SharedEstimates, quotas: Sequence[float],
+    ) -> SharedEstimates:
         """Return what a dispatcher may take over now.
 
         ``defaults`` is what it would assume itself (its runs and factor); ``quotas`` bounds the demand by
@@ -139,7 +139,7 @@
             if not w.ready:
                 continue
             drain = self._caution(Topic.DRAIN, w, now, sources)
-            out.append(KnownWorker(
+            out.append(WorkerEstimates(
                 w.number, w.started_us,
                 pace=self._pace(w, now, kinds),
                 delay=self.estimate(Topic.DELAY, w.name, w.started_us, now, 0.0),
@@ -150,7 +150,7 @@
         runs = tuple(
             self.estimate(Topic.RUN, name, 0, now, max(1.0, d.value))
             for name, d in zip(self._names.classes, defaults.runs, strict=False))
-        return Known(
+        return SharedEstimates(
             workers=tuple(out), runs=runs, demand=self._demand(now, quotas),
             factor=self.estimate(Topic.FACTOR, "", 0, now, defaults.factor.value))
 
--- a/hazellead/learning/pupil.py
+++ b/hazellead/learning/pupil.py
@@ -3,7 +3,7 @@
 from typing import Protocol
 
 from hazellead.decide import interface as api
-from hazellead.decide.known import Known
+from hazellead.decide.estimates import SharedEstimates
 from hazellead.learning.door import Listed, Names, Reader, drafts
 from hazellead.learning.facts import LearningSettings
 from hazellead.learning.store import Knowledge
@@ -14,10 +14,10 @@
 
     settings: api.Settings
 
-    def known(self) -> Known:
+    def known(self) -> SharedEstimates:
         """Return what its decisions have seen themselves."""
 
-    def learn(self, known: Known) -> None:
+    def learn(self, known: SharedEstimates) -> None:
         """Let its decisions take over what others have seen."""
 
     @property
--- a/hazellead/lifecycle/state.py
+++ b/hazellead/lifecycle/state.py
@@ -8,15 +8,15 @@
 from dataclasses import fields
 from typing import Any
 
-from hazellead.decide.known import Estimate, Known, KnownWorker
-from hazellead.decide.records import OWN
+from hazellead.decide.estimates import Estimate, SharedEstimates, WorkerEstimates
+from hazellead.decide.records import INHERITED_FIELDS
 from hazellead.lifecycle.messages import MessageError
 
-_FACTS = tuple(f.name for f in fields(KnownWorker) if f.name not in ("worker", "started_us", "own"))
+_FACTS = tuple(f.name for f in fields(WorkerEstimates) if f.name not in ("worker", "started_us", "own"))
 
 
 def write(
-    known: Known, name: Callable[[int], str], classes: Sequence[str], tenants: Sequence[str],
+    known: SharedEstimates, name: Callable[[int], str], classes: Sequence[str], tenants: Sequence[str],
 ) -> dict[str, Any]:
     """Turn it into plain values, with the names of the classes and tenants that its figures are for."""
     return {
@@ -30,14 +30,15 @@
 
 def read(
     body: Any, number: Callable[[str], int | None], classes: Sequence[str], tenants: Sequence[str],
-) -> Known:
+) -> SharedEstimates:
     """Read it again, less what nobody here knows; raises MessageError."""
     try:
         workers = [
-            KnownWorker(n, int(w["started_us"]), **{f: _estimate(w[f]) for f in _FACTS}, own=_own(w["own"]))
+            WorkerEstimates(
+                n, int(w["started_us"]), **{f: _estimate(w[f]) for f in _FACTS}, own=_own(w["own"]))
             for w in body["workers"] if (n := number(str(w["uid"]))) is not None]
         runs, demand = ({str(k): _estimate(v) for k, v in body[key].items()} for key in ("runs", "demand"))
-        return Known(tuple(workers), tuple(runs.get(c, Estimate()) for c in classes),
+        return SharedEstimates(tuple(workers), tuple(runs.get(c, Estimate()) for c in classes),
                      tuple(demand.get(t, Estimate()) for t in tenants), _estimate(body["factor"]),
                      _finite(body["tokens"].get(t, 0.0) for t in tenants))
     except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as error:
@@ -45,7 +46,7 @@
 
 
 def _own(given: Any) -> tuple[float, ...]:
-    if len(values := _finite(given)) not in (0, len(OWN)):
+    if len(values := _finite(given)) not in (0, len(INHERITED_FIELDS)):
         raise ValueError("own figures")
     return values
 
--- a/hazellead/sim/host.py
+++ b/hazellead/sim/host.py
@@ -3,7 +3,7 @@
 import sys
 from typing import BinaryIO
 
-from hazellead.decide.choice import Dispatcher
+from hazellead.decide.dispatcher import Dispatcher
 from hazellead.decide.interface import Event
 from hazellead.sim import wire
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -3,7 +3,7 @@
 from dataclasses import dataclass, field, replace
 
 from hazellead.decide import interface as api
-from hazellead.decide.choice import Dispatcher
+from hazellead.decide.dispatcher import Dispatcher
 
 CLASSES = (
     api.JobClass(100_000, 5_000_000, api.Effect.SAFE, stretch=2.0),
--- a/tests/test_cold.py
+++ b/tests/test_cold.py
@@ -11,7 +11,7 @@
 import pytest
 
 from hazellead.decide import interface as api
-from hazellead.decide.choice import Dispatcher
+from hazellead.decide.dispatcher import Dispatcher
 
 SECOND = 1_000_000
 
@@ -156,7 +156,7 @@
 
 
 def test_the_bound_is_one_that_can_be_broken(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(Dispatcher, "_cold_room", lambda *_: True)
+    monkeypatch.setattr(Dispatcher, "_cold_budget_left", lambda *_: True)
     fleet = Fleet(SITES["short window"], 1)
     fleet.play()
     assert fleet.worst() > 1.0
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -19,7 +19,7 @@
 
 from hazellead.core import generations
 from hazellead.decide import interface as api
-from hazellead.decide.choice import Dispatcher
+from hazellead.decide.dispatcher import Dispatcher
 
 KINDS = [api.JobClass(100_000, limit, effect) for limit in (1_000_000, 5_000_000) for effect in api.Effect]
 TENANTS = ["a", "b", "c"]
@@ -41,7 +41,7 @@
         at %= len(self.names)
         number = self.now.classes[at]
         self.open.append((number, self.now.tenants[0], self.now.settings.classes[number],
-                          self.now.settings.attempts(number)))
+                          self.now.settings.attempt_limit(number)))
         self.clock += 4000
         self.module.handle(self.clock, [api.Arrival(len(self.open), number, 900_000, self.now.tenants[0])])
 
@@ -63,7 +63,7 @@
         assert self.now.number == before.number + 1
         for name, kind, number in zip(names, kinds, self.now.classes, strict=False):
             rules = self.now.settings.classes[number]
-            assert self.now.rows[number][0] == name and self.now.settings.attempts(number) == most
+            assert self.now.rows[number][0] == name and self.now.settings.attempt_limit(number) == most
             assert replace(rules, max_attempts=0, alone=False) == kind
             assert (number in self.now.fresh) == (
                 number >= len(before.rows) or before.rows[number] != self.now.rows[number])
@@ -71,17 +71,17 @@
         for name, number in zip(tenants, self.now.tenants, strict=True):
             assert self.now.tenant_rows[number][0] == name
         self.clock += 4000
-        self.module.handle(self.clock, [api.Retuned(self.now.settings, self.now.fresh)])
+        self.module.handle(self.clock, [api.SettingsChanged(self.now.settings, self.now.fresh)])
 
     @invariant()
     def open_jobs_keep_their_rules(self) -> None:
         for number, tenant, kind, attempts in self.open:
             assert self.now.settings.classes[number] == kind
-            assert self.now.settings.attempts(number) == attempts
+            assert self.now.settings.attempt_limit(number) == attempts
             assert self.now.settings.tenants[tenant].portion == 0.5
         shares = [t.share for t in self.module.tenants]
         assert len(shares) == len(self.now.tenant_rows) and abs(sum(shares) - 1) < 1e-9 and min(shares) > 0
-        assert len(self.module.run_us) == len(self.now.rows)
+        assert len(self.module.class_run_us) == len(self.now.rows)
 
 
 Numbers.TestCase.settings = STEADY
@@ -97,7 +97,8 @@
     once = api.Settings((replace(safe, effect=api.Effect.UNSAFE),), max_attempts=1)
     now = generations.follow(held, once, ["post"], [], {0}, {0})
     assert now.classes == (1,) and now.settings.classes[0].effect is api.Effect.SAFE
-    second = pushes(module.handle(4000, [api.Retuned(now.settings, now.fresh), api.Arrival(2, 1, 5_000_000)]))
+    second = pushes(module.handle(
+        4000, [api.SettingsChanged(now.settings, now.fresh), api.Arrival(2, 1, 5_000_000)]))
     assert [p.request for p in second] == [2]
     reset = api.Outcome.RESET
     actions = module.handle(64_000, [api.AttemptEnded(1, 0, first[0].worker, reset, 64_000, False),
@@ -116,11 +117,11 @@
         module.handle(began, [api.JobBegan(i, 0, push.worker)])
         module.handle(began + 300_000, [
             api.AttemptEnded(i, 0, push.worker, api.Outcome.SERVED, 304_000, True)])
-    assert module.run_us[0] > 250_000
+    assert module.class_run_us[0] > 250_000
     settings = api.Settings((KINDS[2], KINDS[5]), max_attempts=2)
     now = generations.follow(held, settings, ["post", "v2"], [], (), ())
-    module.handle(17_000_000, [api.Retuned(now.settings, now.fresh)])
-    assert now.fresh and module.run_us[now.classes[1]] == module.mean_run > 250_000
+    module.handle(17_000_000, [api.SettingsChanged(now.settings, now.fresh)])
+    assert now.fresh and module.class_run_us[now.classes[1]] == module.mean_run_us > 250_000
 
 
 def test_too_many_names_are_refused_and_numbers_are_used_again() -> None:
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -23,9 +23,9 @@
 from test_program import BRIEF, HEADERS, SETTINGS, get, given, program
 
 from hazellead.decide import interface as api
-from hazellead.decide.choice import Dispatcher
-from hazellead.decide.known import Estimate, Known, KnownWorker
-from hazellead.decide.records import OWN
+from hazellead.decide.dispatcher import Dispatcher
+from hazellead.decide.estimates import Estimate, SharedEstimates, WorkerEstimates
+from hazellead.decide.records import INHERITED_FIELDS
 from hazellead.lifecycle import state
 from hazellead.lifecycle.channel import Channel
 from hazellead.lifecycle.messages import Message, MessageError, Reader, encode
@@ -349,8 +349,10 @@
 def test_knowledge_crosses_by_name_and_what_is_malformed_is_refused() -> None:
     here = {"s-1": 1, "s-2": 2}
     e = Estimate(1.5, 3.0, 77)
-    workers = KnownWorker(1, 5, pace=e, own=tuple(range(len(OWN)))), KnownWorker(2, 6, broke=e)
-    known = Known(workers, (e, Estimate(2.0)), (Estimate(3.0, 1.0, 1),), e, (2.5,))
+    workers = (
+        WorkerEstimates(1, 5, pace=e, own=tuple(range(len(INHERITED_FIELDS)))),
+        WorkerEstimates(2, 6, broke=e))
+    known = SharedEstimates(workers, (e, Estimate(2.0)), (Estimate(3.0, 1.0, 1),), e, (2.5,))
     body = json.loads(json.dumps(state.write(
         known, lambda n: {v: k for k, v in here.items()}[n], ["a", "b"], ["t"])))
     got = state.read(body, {"s-2": 9}.get, ["b", "new", "a"], ["u", "t"])
@@ -379,9 +381,9 @@
     assert old.avoided() == {errs} and old.workers[errs].failures > 2
     new.handle(now + 20_000, [fleet(4)])
     name, number = {n: f"s-{n}" for n in old.workers}, {f"s-{n}": n for n in old.workers}
-    body = json.loads(json.dumps(state.write(old.known(), name.__getitem__, ["a"], ["t"])))
-    new.learn(state.read(body, number.get, ["a"], ["t"]))
-    for field in OWN:
+    body = json.loads(json.dumps(state.write(old.export_estimates(), name.__getitem__, ["a"], ["t"])))
+    new.adopt_estimates(state.read(body, number.get, ["a"], ["t"]))
+    for field in INHERITED_FIELDS:
         assert getattr(new.workers[errs], field) == getattr(old.workers[errs], field), field
     assert new.avoided() == {errs}
     due = new.workers[errs].next_trial
@@ -391,8 +393,8 @@
     after = Dispatcher(site, 3)
     after.handle(now + 24_000, [fleet(4)])
     assert after.tenants[0].throttle.tokens > 0 == old.tenants[0].throttle.tokens
-    after.learn(state.read(json.loads(json.dumps(state.write(
-        old.known(), name.__getitem__, ["a"], ["t"]))), number.get, ["a"], ["t"]))
+    after.adopt_estimates(state.read(json.loads(json.dumps(state.write(
+        old.export_estimates(), name.__getitem__, ["a"], ["t"]))), number.get, ["a"], ["t"]))
     assert after.tenants[0].throttle.tokens == 0, "a burst let through for a second time"
 
 
@@ -401,10 +403,10 @@
                         tick_us=4000, reports=False, tells_start=True)
     for free in range(1, 5):
         module = Dispatcher(site, free)
-        module.handle(0, [fleet(4), *(api.Elsewhere(w, 1, 1) for w in range(1, 5) if w != free)])
+        module.handle(0, [fleet(4), *(api.PredecessorLoad(w, 1, 1) for w in range(1, 5) if w != free)])
         sent = pushes(module.handle(4000, [api.Arrival(n, 0, 5_000_000) for n in range(3)]))
         assert [p.worker for p in sent] == [free], "the one worker where nothing waits, and only once"
-        began = [api.Elsewhere(w, 1, 0) for w in range(1, 5)]
+        began = [api.PredecessorLoad(w, 1, 0) for w in range(1, 5)]
         [push] = pushes(module.handle(8000, began))  # the token for a third comes later
         assert push.worker != free
 
@@ -476,6 +478,6 @@
     d = Dispatcher(BASE, 1)
     d.handle(1_000_000, [fleet(1024)])
     names = {f"s-{n:032x}": n for n in range(1, 1025)}
-    body = state.write(d.known(), "s-{:032x}".format, [""], [""])
+    body = state.write(d.export_estimates(), "s-{:032x}".format, [""], [""])
     (got,) = Reader().feed(encode(Message("offer", {"known": body})))
     assert len(state.read(got.body["known"], names.get, [""], [""]).workers) == 1024
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -13,9 +13,9 @@
 from loopback import STEADY
 
 from hazellead.decide import interface as api
-from hazellead.decide.choice import Dispatcher
-from hazellead.decide.known import Estimate, Known, KnownWorker
-from hazellead.decide.records import Learned
+from hazellead.decide.dispatcher import Dispatcher
+from hazellead.decide.estimates import Estimate, SharedEstimates, WorkerEstimates
+from hazellead.decide.records import MeanWithPrior
 from hazellead.learning.door import Listed, Names, Reader, drafts
 from hazellead.learning.facts import Draft, Fact, LearningSettings, Origin, Topic, default_half_lives
 from hazellead.learning.merge import Said, combine, faded
@@ -169,17 +169,17 @@
 def test_an_average_forgets_what_it_was_given_and_keeps_what_was_seen(
     seen: list[tuple[float, float]], given_: float,
 ) -> None:
-    plain, late = Learned(given_), Learned(1.0)
+    plain, late = MeanWithPrior(given_), MeanWithPrior(1.0)
     for x, weight in seen:
         plain.add(x, weight, 0, 0.02)
         late.add(x, weight, 0, 0.02)
-    late.base(Estimate(given_, 5.0))
+    late.set_prior(Estimate(given_, 5.0))
     assert late.value == pytest.approx(plain.value)
-    assert late.own() == plain.own() and late.own().weight == len(seen)
+    assert late.own_estimate() == plain.own_estimate() and late.own_estimate().weight == len(seen)
 
 
-def known(*workers: KnownWorker) -> Known:
-    return Known(workers=workers)
+def known(*workers: WorkerEstimates) -> SharedEstimates:
+    return SharedEstimates(workers=workers)
 
 
 def dispatcher(**changes: int) -> Dispatcher:
@@ -190,49 +190,49 @@
 
 def test_what_is_learned_of_another_start_of_a_worker_counts_for_nothing() -> None:
     d, sure = dispatcher(started_us=5), Estimate(3.0, 20.0, NOW)
-    d.learn(known(KnownWorker(1, 4, pace=sure), KnownWorker(2, 5, pace=sure),
-                  KnownWorker(99, 5, pace=sure)))
+    d.adopt_estimates(known(WorkerEstimates(1, 4, pace=sure), WorkerEstimates(2, 5, pace=sure),
+                  WorkerEstimates(99, 5, pace=sure)))
     assert d.workers[1].pace == 1.0 and d.workers[2].pace == 3.0 and 99 not in d.workers
 
 
 def test_a_cold_worker_stays_cold_and_a_fact_can_only_make_one_colder() -> None:
     d = dispatcher(started_us=NOW - S)
     before = d.workers[1].cold_since
-    d.learn(known(KnownWorker(1, NOW - S, broke=Estimate(1.0, 1.0, NOW - 2 * S),
+    d.adopt_estimates(known(WorkerEstimates(1, NOW - S, broke=Estimate(1.0, 1.0, NOW - 2 * S),
                                   slots=Estimate(1000.0, 9.0, NOW))))
     assert d.workers[1].cold_since == before and d.workers[1].slots < 1000
-    d.learn(known(KnownWorker(1, NOW - S, broke=Estimate(1.0, 1.0, NOW))))
+    d.adopt_estimates(known(WorkerEstimates(1, NOW - S, broke=Estimate(1.0, 1.0, NOW))))
     assert d.workers[1].cold_since == NOW
-    d.learn(known(KnownWorker(2, NOW - S, broke=Estimate(1.0, 1.0, NOW + 10**12))))
+    d.adopt_estimates(known(WorkerEstimates(2, NOW - S, broke=Estimate(1.0, 1.0, NOW + 10**12))))
     assert d.workers[2].cold_since == before  # a time to come
 
 
 def test_a_drain_heard_from_others_keeps_new_work_away_for_a_moment() -> None:
     d = dispatcher()
-    shun = tuple(KnownWorker(w, 0, drain=Estimate(1.0, 1.0, NOW + S)) for w in (1, 2, 3))
-    d.learn(Known(workers=shun))
+    shun = tuple(WorkerEstimates(w, 0, drain=Estimate(1.0, 1.0, NOW + S)) for w in (1, 2, 3))
+    d.adopt_estimates(SharedEstimates(workers=shun))
     events = [api.Arrival(i, 2, 5 * S) for i in range(1, 4)]
     sent = {a.worker for a in d.handle(NOW + 4000, events) if isinstance(a, api.Push)}
     assert sent == {4}
-    d.learn(known())
+    d.adopt_estimates(known())
     more = [api.Arrival(i, 2, 5 * S) for i in range(10, 14)]
     assert {a.worker for a in d.handle(NOW + 2 * S, more) if isinstance(a, api.Push)} - {4}
 
 
 def test_nothing_learned_opens_a_worker_that_the_own_list_has_not() -> None:
     d = dispatcher(phase=api.Phase.DRAINING)  # type: ignore[arg-type]
-    d.learn(known(*(KnownWorker(w, 0, pace=Estimate(0.1, 99, NOW)) for w in range(1, 9))))
+    d.adopt_estimates(known(*(WorkerEstimates(w, 0, pace=Estimate(0.1, 99, NOW)) for w in range(1, 9))))
     assert not [a for a in d.handle(NOW + 4000, [api.Arrival(1, 2, 5 * S)]) if isinstance(a, api.Push)]
 
 
 def test_what_was_taken_over_is_never_told_as_ones_own() -> None:
     d = dispatcher()
     full = Estimate(2.0, 50.0, NOW)
-    d.learn(Known(
-        workers=tuple(KnownWorker(w, 0, full, full, full, full, full, full) for w in range(1, 5)),
+    d.adopt_estimates(SharedEstimates(
+        workers=tuple(WorkerEstimates(w, 0, full, full, full, full, full, full) for w in range(1, 5)),
         runs=(full,) * 3, factor=Estimate(1.0, 9, NOW)))
     listed = [Listed(w, f"w-{w}", 0) for w in range(1, 5)]
-    told = drafts(d.known(), NAMES, listed, "me", NOW)
+    told = drafts(d.export_estimates(), NAMES, listed, "me", NOW)
     assert not [t for t in told if t.topic not in (Topic.DEMAND,)]
 
 
@@ -244,7 +244,7 @@
         b.take(NOW, [Batch(Origin(name, 1), seq, [Fact(topic, "w-1", 7, 1.0, 1.0, NOW, seq)])])
 
     def blamed() -> float:
-        return reader(b).known([worker], NOW, Known(), ()).workers[0].blame.weight
+        return reader(b).known([worker], NOW, SharedEstimates(), ()).workers[0].blame.weight
 
     tell("x", Topic.BLAME)
     assert blamed() > 0  # the only other member
@@ -262,7 +262,7 @@
         Batch(Origin("me", 1), 2, [Fact(Topic.DEMAND, "me/t1", 0, 30.0, 9.0, NOW, 1),
                                    Fact(Topic.DEMAND, "me/t2", 0, 900.0, 9.0, NOW, 2)]),
         Batch(Origin("x", 1), 1, [Fact(Topic.DEMAND, "x/t1", 0, 5.0, 9.0, NOW, 1)])])
-    one, two = reader(b).known([], NOW, Known(), (25.0, 50.0)).demand
+    one, two = reader(b).known([], NOW, SharedEstimates(), (25.0, 50.0)).demand
     assert one.value == pytest.approx(29.4, abs=0.5) and two.value <= 100.0
 
 
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -511,11 +511,11 @@
             kept, _, _ = generations.keep(kept, (f"k{i}", rules), "x")
 
 
-def _adopted(effect: api.Effect, *made: api.Made) -> Referee:
+def _adopted(effect: api.Effect, *made: api.PriorAttempt) -> Referee:
     rules = api.Settings(classes=(api.JobClass(100_000, 5_000_000, effect),), max_attempts=3, reports=False)
     referee = Referee(rules)
     referee.play(fleet(4))
-    arrival = api.Arrival(1, 0, 4_000_000, made=made)
+    arrival = api.Arrival(1, 0, 4_000_000, prior_attempts=made)
     assert not pushes(referee.play(arrival, after_us=4000))  # what is out is not sent again
     return referee
 
@@ -525,7 +525,7 @@
 def test_the_module_goes_on_with_an_attempt_made_elsewhere_as_with_its_own(
     effect: api.Effect, outcome: api.Outcome,
 ) -> None:
-    referee = _adopted(effect, api.Made(2, 900_000))
+    referee = _adopted(effect, api.PriorAttempt(2, 900_000))
     ended = api.AttemptEnded(1, 0, 2, outcome, 200_000, outcome is api.Outcome.SERVED)
     actions = referee.dispatcher.handle(referee.now + 50_000, [ended])
     again = pushes(actions)
@@ -538,8 +538,8 @@
 
 
 def test_attempts_made_elsewhere_count_and_a_worker_that_no_list_names_may_have_one() -> None:
-    before = [api.Made(n, 900_000, 0, api.Outcome.FULL) for n in (1, 2)]
-    referee = _adopted(api.Effect.UNSAFE, *before, api.Made(99, 950_000, 960_000))
+    before = [api.PriorAttempt(n, 900_000, 0, api.Outcome.FULL) for n in (1, 2)]
+    referee = _adopted(api.Effect.UNSAFE, *before, api.PriorAttempt(99, 950_000, 960_000))
     actions = referee.dispatcher.handle(
         referee.now + 9000, [api.AttemptEnded(1, 2, 99, api.Outcome.FULL, 9000, False)])
     assert not pushes(actions) and any(isinstance(a, api.Refuse) for a in actions)  # the third was the last
--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -22,7 +22,7 @@
 
 from hazellead.core.clock import Clock
 from hazellead.decide import interface as api
-from hazellead.decide.known import Estimate, Known, KnownWorker
+from hazellead.decide.estimates import Estimate, SharedEstimates, WorkerEstimates
 from hazellead.learning.door import Names
 from hazellead.learning.facts import Topic
 from hazellead.operators import load
@@ -52,15 +52,15 @@
     settings = replace(BASE, reports=False)
 
     def __init__(self, pace: float | None) -> None:
-        self.pace, self.learned = pace, list[Known]()
+        self.pace, self.learned = pace, list[SharedEstimates]()
 
-    def known(self) -> Known:
+    def known(self) -> SharedEstimates:
         if self.pace is None:
-            return Known()
+            return SharedEstimates()
         now = Clock().now_us()
-        return Known((KnownWorker(1, 0, pace=Estimate(self.pace, 40, now)),))
+        return SharedEstimates((WorkerEstimates(1, 0, pace=Estimate(self.pace, 40, now)),))
 
-    def learn(self, known: Known) -> None:
+    def learn(self, known: SharedEstimates) -> None:
         self.learned.append(known)
 
     @property
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -3,7 +3,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from hazellead.decide.choice import Throttle
+from hazellead.decide.dispatcher import Throttle
 
 EVENTS = st.lists(st.sampled_from([0, 1, 2, 3]), max_size=200)  # 0: a token; k: a job of k slots
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -159,6 +159,6 @@
     def broken(*_: object) -> list[api.Action]:
         raise KeyError("what was sought")
 
-    monkeypatch.setattr("hazellead.decide.choice.Dispatcher.handle", broken)
+    monkeypatch.setattr("hazellead.decide.dispatcher.Dispatcher.handle", broken)
     out = serve(batch(1, start(2)))
     assert b"KeyError: 'what was sought'" in out and out[12:15] == wire.source(2) and out[15] == 9
