--- a/hazellead/__init__.py
+++ b/hazellead/__init__.py
@@ -1,4 +1,4 @@
-"""Decisions for a dispatcher that sits beside a submitter and pushes jobs to workers."""
+"""A dispatcher that admits tenants' jobs, pushes them to workers and retries them: decisions without I/O."""
 
 from hazellead.decide.dispatcher import Dispatcher
 
--- a/hazellead/sim/host.py
+++ b/hazellead/sim/host.py
@@ -1,4 +1,4 @@
-"""Hosts dispatchers for the bench: frames in on standard input, replies out on standard output."""
+"""Hosts dispatchers for the simulator: reads batches on standard input, writes replies to standard output."""
 
 import sys
 from typing import BinaryIO
@@ -9,7 +9,7 @@
 
 
 def read_exactly(stream: BinaryIO, count: int) -> bytes:
-    """Read so many bytes; fewer only at the end of input."""
+    """Read ``count`` bytes; return fewer only at the end of the input."""
     parts = []
     while count > 0:
         part = stream.read(count)
@@ -21,23 +21,27 @@
 
 
 class Host:
-    """The dispatchers of one adapter process. They share nothing but this table."""
+    """The dispatchers of one adapter process by instance number; they share no state."""
 
     def __init__(self) -> None:
-        """Start with no instance."""
+        """Start without instances."""
         self.dispatchers: dict[int, Dispatcher] = {}
-        self.forms: dict[int, wire.ReportForm] = {}
+        self.layouts: dict[int, wire.ReportLayout] = {}
 
     def answer(self, batch: int, count: int, now_us: int, body: bytes) -> bytes:
-        """Let each instance handle its events and frame the reply."""
+        """Let each instance handle its events of a batch; return the reply.
+
+        An exception of an instance goes into the reply as its fatal message. Raises WireError if the batch is
+        malformed.
+        """
         pending: dict[int, list[Event]] = {}
-        for instance, event in wire.records(count, body, self.forms):
+        for instance, event in wire.decode(count, body, self.layouts):
             if isinstance(event, wire.Started):
-                self.dispatchers[instance] = Dispatcher(wire.settings(event.setup), event.seed)
+                self.dispatchers[instance] = Dispatcher(wire.settings(event.settings_text), event.seed)
                 pending[instance] = []
             elif isinstance(event, wire.Stopped):
                 self.dispatchers.pop(instance, None)
-                self.forms.pop(instance, None)
+                self.layouts.pop(instance, None)
                 pending.pop(instance, None)
             elif instance in self.dispatchers:
                 pending.setdefault(instance, []).append(event)
@@ -50,19 +54,19 @@
             except Exception as error:
                 encoded = [wire.text_record(9, f"{type(error).__name__}: {error}")]
             if encoded:
-                out.append(wire.source(instance))
+                out.append(wire.instance_record(instance))
                 out.extend(encoded)
         return wire.reply(batch, out)
 
 
 def serve(source: BinaryIO, sink: BinaryIO) -> None:
-    """Answer every batch until the input ends."""
+    """Answer every batch until the input ends; raise WireError if one is malformed."""
     host = Host()
     while header := read_exactly(source, wire.BATCH_HEADER.size):
         if len(header) < wire.BATCH_HEADER.size:
             raise wire.WireError("truncated batch header")
         batch, count, length, now_us = wire.BATCH_HEADER.unpack(header)
-        if not wire.CLOCK_BYTES <= length <= wire.MOST_BYTES:
+        if not wire.CLOCK_BYTES <= length <= wire.MAX_BYTES:
             raise wire.WireError(f"impossible batch length {length}")
         body = read_exactly(source, length - wire.CLOCK_BYTES)
         if len(body) < length - wire.CLOCK_BYTES:
@@ -72,7 +76,10 @@
 
 
 def main() -> int:
-    """Run the host; malformed input ends it with one line on standard error."""
+    """Run the host; return its exit status.
+
+    Malformed input ends it with one line on standard error and status 2, a closed standard output with 1.
+    """
     try:
         serve(sys.stdin.buffer, sys.stdout.buffer)
     except ValueError as error:
--- a/hazellead/sim/wire.py
+++ b/hazellead/sim/wire.py
@@ -1,4 +1,8 @@
-"""Binary codec between the bench's frames and the library's types. Nothing is decided here."""
+"""Binary codec of the simulator's protocol: batches of events in, replies with actions out.
+
+Batches and replies consist of a header and records. Each record starts with its code in one byte. The records
+of an instance, that is of one dispatcher, follow a record that names it. Integers are big-endian.
+"""
 
 import struct
 from collections.abc import Iterator
@@ -37,28 +41,28 @@
     WorkerList,
 )
 
-BATCH_HEADER = struct.Struct(">IIIQ")
-REPLY_HEADER = struct.Struct(">III")
-CLOCK_BYTES = 8
-MOST_BYTES = 1 << 28
-
-_FOR = struct.Struct(">H")
-_INIT = struct.Struct(">QI")
-_LIST = struct.Struct(">IBI")
-_ENTRY = struct.Struct(">IHHBHBfQ")
-_SUBMIT = struct.Struct(">QBIQIIffB")
-_HEAD = struct.Struct(">QIHIH")
-_END = struct.Struct(">QHIHBIBI")
-_ID = struct.Struct(">Q")
-_SAMPLED = struct.Struct(">IHBI")
-_PEER = struct.Struct(">IH")
-_NOTE = struct.Struct(">QIHHBf")
-_ISSUE = struct.Struct(">BQIHI")
+BATCH_HEADER = struct.Struct(">IIIQ")  # batch number, record count, length of clock and body, clock in us
+REPLY_HEADER = struct.Struct(">III")  # batch number, record count, length of the body
+CLOCK_BYTES = 8  # size of the clock, which is part of a batch's header but counts in its length
+MAX_BYTES = 1 << 28  # longest batch accepted
+
+_INSTANCE = struct.Struct(">H")
+_START = struct.Struct(">QI")
+_LIST_HEADER = struct.Struct(">IBI")
+_LIST_ENTRY = struct.Struct(">IHHBHBfQ")
+_ARRIVAL = struct.Struct(">QBIQIIffB")
+_JOB_BEGAN = struct.Struct(">QIHIH")
+_ATTEMPT_ENDED = struct.Struct(">QHIHBIBI")
+_UINT64 = struct.Struct(">Q")
+_PROBE_ENDED = struct.Struct(">IHBI")
+_PEER_MESSAGE = struct.Struct(">IH")
+_JOB_RUNNING = struct.Struct(">QIHHBf")
+_PUSH = struct.Struct(">BQIHI")
 _REFUSE = struct.Struct(">BQI")
 _FAIL = struct.Struct(">BQ")
 _CANCEL = struct.Struct(">BQH")
-_REMIND = struct.Struct(">BIQ")
-_CHECK = struct.Struct(">BIH")
+_SET_TIMER = struct.Struct(">BIQ")
+_WORKER = struct.Struct(">BIH")  # of a probe and a release: code and worker
 _TEXT = struct.Struct(">BH")
 
 _OUTCOMES = {
@@ -80,15 +84,15 @@
 
 
 class WireError(ValueError):
-    """A frame or a setting that the wire's description does not allow."""
+    """A frame or a setting that the protocol does not allow."""
 
 
 @dataclass(slots=True)
 class Started:
-    """An instance starts, with its seed and its settings' text."""
+    """An instance starts, with its seed and the text of its settings."""
 
     seed: int
-    setup: str
+    settings_text: str
 
 
 @dataclass(slots=True)
@@ -97,34 +101,34 @@
 
 
 class Reader:
-    """A cursor over one frame's bytes that never reads past their end."""
+    """A cursor over the bytes of one body; reading past the end raises WireError."""
 
     def __init__(self, data: bytes) -> None:
         """Start at the first byte."""
         self.data = data
-        self.at = 0
+        self.position = 0
 
-    def take(self, form: struct.Struct) -> tuple[int, ...]:
-        """Unpack one fixed form. Floats come along as they are."""
-        if self.at + form.size > len(self.data):
+    def take(self, structure: struct.Struct) -> tuple[int, ...]:
+        """Unpack one structure; its float fields come back as floats."""
+        if self.position + structure.size > len(self.data):
             raise WireError("truncated record")
-        values = form.unpack_from(self.data, self.at)
-        self.at += form.size
+        values = structure.unpack_from(self.data, self.position)
+        self.position += structure.size
         return values
 
     def bytes(self, count: int) -> bytes:
-        """Take so many bytes."""
-        if self.at + count > len(self.data):
+        """Take ``count`` bytes."""
+        if self.position + count > len(self.data):
             raise WireError("truncated record")
-        self.at += count
-        return self.data[self.at - count : self.at]
+        self.position += count
+        return self.data[self.position - count : self.position]
 
     def byte(self) -> int:
         """Take one byte."""
         return self.bytes(1)[0]
 
     def floats(self) -> tuple[float, ...]:
-        """Take a counted list of 32-bit floats."""
+        """Take a one-byte count and as many 32-bit floats."""
         count = self.byte()
         return struct.unpack(f">{count}f", self.bytes(4 * count))
 
@@ -134,41 +138,41 @@
     return address << 16 | port
 
 
-def _known(table: dict[int, _T], code: int, what: str) -> _T:
+def _lookup(table: dict[int, _T], code: int, name: str) -> _T:
     if code not in table:
-        raise WireError(f"unknown {what} {code}")
+        raise WireError(f"unknown {name} {code}")
     return table[code]
 
 
-class ReportForm:
-    """Where in a load report the values stand that the library knows."""
+class ReportLayout:
+    """The positions of the known figures (free slots, in flight, queue) in a load report."""
 
     def __init__(self, fields: list[str], x0: str) -> None:
-        """Take the fields' names and the meaning of x0."""
+        """Take the names of the report's fields, and which figure the field "x0" stands for."""
         names = ["free_slots" if f == "x0" and x0 == "free_slots" else f for f in fields]
-        self.places = [names.index(n) if n in names else -1 for n in ("free_slots", "inflight", "queue")]
+        self.positions = [names.index(n) if n in names else -1 for n in ("free_slots", "inflight", "queue")]
 
     def read(self, values: tuple[float, ...]) -> Report | None:
-        """Turn the values into a report; None where there are none."""
+        """Convert a report's values; return None if there are none."""
         if not values:
             return None
-        return Report(*(values[p] if 0 <= p < len(values) else None for p in self.places))
+        return Report(*(values[p] if 0 <= p < len(values) else None for p in self.positions))
 
 
-def pairs(setup: str) -> dict[str, str]:
-    """Split the settings' lines at their first equals sign."""
-    return dict(line.split("=", 1) for line in setup.splitlines() if "=" in line)
+def pairs(settings_text: str) -> dict[str, str]:
+    """Return the lines "key=value" of the settings' text as a dict."""
+    return dict(line.split("=", 1) for line in settings_text.splitlines() if "=" in line)
 
 
-def report_form(setup: str) -> ReportForm:
-    """Read from the settings how load reports are laid out."""
-    table = pairs(setup)
-    return ReportForm(table.get("report.fields", "").split(","), table.get("specifics.reportX0", ""))
+def report_layout(settings_text: str) -> ReportLayout:
+    """Read the layout of load reports from the settings."""
+    table = pairs(settings_text)
+    return ReportLayout(table.get("report.fields", "").split(","), table.get("specifics.reportX0", ""))
 
 
-def settings(setup: str) -> Settings:
-    """Read the settings; an absent or unreadable required key is a WireError that names it."""
-    table = pairs(setup)
+def settings(settings_text: str) -> Settings:
+    """Parse the settings; raise WireError with the key at fault if one is missing or malformed."""
+    table = pairs(settings_text)
 
     def need(key: str) -> str:
         if key not in table:
@@ -252,94 +256,100 @@
     )
 
 
-def _worker_list(r: Reader) -> WorkerList:
-    _, kind, count = r.take(_LIST)
+def _worker_list(reader: Reader) -> WorkerList:
+    _, list_kind, count = reader.take(_LIST_HEADER)
     entries = []
     for _ in range(count):
-        address, port, zone, hw, cell, phase, weight, started = r.take(_ENTRY)
+        address, port, zone, kind, cell, phase, weight, started_us = reader.take(_LIST_ENTRY)
         entries.append(
             WorkerEntry(
-                worker_id(address, port), zone, hw, cell, _known(_PHASES, phase, "lifecycle"), weight, started
+                worker_id(address, port), zone, kind, cell, _lookup(_PHASES, phase, "lifecycle"), weight,
+                started_us,
             )
         )
-    return WorkerList(_known(_LIST_KINDS, kind, "list kind"), tuple(entries))
+    return WorkerList(_lookup(_LIST_KINDS, list_kind, "list kind"), tuple(entries))
 
 
-def records(
-    count: int, body: bytes, forms: dict[int, ReportForm]
+def decode(
+    count: int, body: bytes, layouts: dict[int, ReportLayout]
 ) -> Iterator[tuple[int, Event | Started | Stopped]]:
-    """Read a batch's records as pairs of instance and event; ``forms`` is kept up to date at each start."""
-    r = Reader(body)
+    """Decode a batch's records to pairs of instance and event.
+
+    ``layouts`` holds the layout of load reports by instance; each start of an instance sets its own.
+    Raises WireError where a record is malformed.
+    """
+    reader = Reader(body)
     instance = -1
     for _ in range(count):
-        code = r.byte()
+        code = reader.byte()
         if code == 11:
-            (instance,) = r.take(_FOR)
+            (instance,) = reader.take(_INSTANCE)
             continue
         if instance < 0:
             raise WireError("a record stands before any FOR")
         event: Event | Started | Stopped | None = None
         if code == 0:
-            seed, length = r.take(_INIT)
+            seed, length = reader.take(_START)
             try:
-                text = r.bytes(length).decode()
+                settings_text = reader.bytes(length).decode()
             except UnicodeDecodeError:
                 raise WireError("settings are not UTF-8") from None
-            forms[instance] = report_form(text)
-            event = Started(seed, text)
+            layouts[instance] = report_layout(settings_text)
+            event = Started(seed, settings_text)
         elif code == 1:
-            event = _worker_list(r)
+            event = _worker_list(reader)
         elif code == 2:
-            rid, lane, team, _, left, hint, slots, _, bits = r.take(_SUBMIT)
-            event = Arrival(rid, lane, left, team, slots or 1.0, hint if bits & 1 else 0)
+            request, job_class, tenant, _, remaining_us, hint_us, slots, _, flags = reader.take(_ARRIVAL)
+            event = Arrival(
+                request, job_class, remaining_us, tenant, slots or 1.0, hint_us if flags & 1 else 0)
         elif code == 3:
-            rid, _, attempt, address, port = r.take(_HEAD)
-            event = JobBegan(rid, attempt, worker_id(address, port))
+            request, _, attempt, address, port = reader.take(_JOB_BEGAN)
+            event = JobBegan(request, attempt, worker_id(address, port))
         elif code == 4:
-            rid, attempt, address, port, verdict, spent, complete, _ = r.take(_END)
-            report = forms[instance].read(r.floats()) if instance in forms else None
-            outcome = _known(_OUTCOMES, verdict, "outcome")
+            request, attempt, address, port, outcome_code, spent_us, complete, _ = reader.take(_ATTEMPT_ENDED)
+            report = layouts[instance].read(reader.floats()) if instance in layouts else None
+            outcome = _lookup(_OUTCOMES, outcome_code, "outcome")
             event = AttemptEnded(
-                rid, attempt, worker_id(address, port), outcome, spent, bool(complete), report
+                request, attempt, worker_id(address, port), outcome, spent_us, bool(complete), report
             )
         elif code == 5:
-            event = Abandoned(r.take(_ID)[0])
+            event = Abandoned(reader.take(_UINT64)[0])
         elif code == 6:
-            event = TimerFired(r.take(_ID)[0])
+            event = TimerFired(reader.take(_UINT64)[0])
         elif code == 7:
-            address, port, verdict, _ = r.take(_SAMPLED)
-            report = forms[instance].read(r.floats()) if instance in forms else None
-            event = ProbeEnded(worker_id(address, port), _known(_OUTCOMES, verdict, "outcome"), report)
+            address, port, outcome_code, _ = reader.take(_PROBE_ENDED)
+            report = layouts[instance].read(reader.floats()) if instance in layouts else None
+            event = ProbeEnded(worker_id(address, port), _lookup(_OUTCOMES, outcome_code, "outcome"), report)
         elif code == 8:
-            sender, length = r.take(_PEER)
-            event = PeerMessage(sender, r.bytes(length))
+            sender, length = reader.take(_PEER_MESSAGE)
+            event = PeerMessage(sender, reader.bytes(length))
         elif code == 9:
             event = Stopped()
         elif code == 10:
-            rid, address, port, attempt, _, _ = r.take(_NOTE)
-            event = JobBegan(rid, attempt, worker_id(address, port))
+            request, address, port, attempt, _, _ = reader.take(_JOB_RUNNING)
+            event = JobBegan(request, attempt, worker_id(address, port))
         else:
             raise WireError(f"unknown record code {code}")
         yield instance, event
-    if r.at != len(body):
-        raise WireError(f"{len(body) - r.at} bytes follow the last record")
+    if reader.position != len(body):
+        raise WireError(f"{len(body) - reader.position} bytes follow the last record")
 
 
-def source(instance: int) -> bytes:
-    """Encode whose actions follow."""
+def instance_record(instance: int) -> bytes:
+    """Encode the record that names the instance whose actions follow."""
     return struct.pack(">BH", 12, instance)
 
 
 def text_record(code: int, text: str) -> bytes:
-    """Encode a log line (8) or a fatal message (9), cut to what its length field can hold."""
+    """Encode a log line (code 8) or a fatal message (code 9), cut to what its length field can hold."""
     data = text.encode()[:65535]
     return _TEXT.pack(code, len(data)) + data
 
 
 def encode(action: Action) -> bytes:
-    """Encode one action."""
+    """Encode one action as a record."""
     if isinstance(action, Push):
-        return _ISSUE.pack(
+        return _PUSH.pack(
             0, action.request, action.worker >> 16, action.worker & 0xFFFF, action.timeout_us
         )
     if isinstance(action, Refuse):
@@ -349,11 +359,11 @@
     if isinstance(action, Cancel):
         return _CANCEL.pack(3, action.request, action.attempt)
     if isinstance(action, SetTimer):
-        return _REMIND.pack(4, action.after_us, action.token)
+        return _SET_TIMER.pack(4, action.after_us, action.token)
     if isinstance(action, Probe):
-        return _CHECK.pack(5, action.worker >> 16, action.worker & 0xFFFF)
+        return _WORKER.pack(5, action.worker >> 16, action.worker & 0xFFFF)
     if isinstance(action, Release):
-        return _CHECK.pack(6, action.worker >> 16, action.worker & 0xFFFF)
+        return _WORKER.pack(6, action.worker >> 16, action.worker & 0xFFFF)
     if isinstance(action, Subscribe):
         return b"\x0a\x01"
     if isinstance(action, FetchList):
@@ -364,6 +374,6 @@
 
 
 def reply(batch: int, encoded: list[bytes]) -> bytes:
-    """Frame a reply from its encoded records."""
+    """Return a reply to a batch: header and encoded records."""
     body = b"".join(encoded)
     return REPLY_HEADER.pack(batch, len(encoded), len(body)) + body
--- a/tests/test_second_copies.py
+++ b/tests/test_second_copies.py
@@ -1,10 +1,10 @@
-"""Looks at whether an attempt needs a second copy.
+"""Checks whether an attempt needs a second copy: they must not repeat without end within one step.
 
-A scheduler whose jobs run for less than a tick stopped answering for good: one call of ``Dispatcher.handle``
-never returned. The call-backs of such a job's start and end come in one step, so it counts as run for 1 us. A
-look at an attempt that needs no copy yet was put off by a quarter of the mean run time in whole microseconds,
-which is 0 for means under 4 us, and was due again at once. Evidence: with means of 1 and 3 us the loop in
-``_copy`` took one and the same check from the heap 200,000 times, when it was broken off; with 4 us once.
+``Dispatcher.handle`` did not return where jobs ran for less than a tick. The start and the end of such a job
+are reported in one step, so its run time counts as 1 us. A check of an attempt that needs no copy yet was
+postponed by a quarter of the mean run time in whole microseconds, which is 0 for means under 4 us, so it was
+due again at once: with means of 1 and 3 us the loop in ``_send_copies`` had taken the same check from the heap
+200,000 times when it was interrupted, with 4 us once.
 """
 
 import signal
@@ -23,7 +23,7 @@
 
 @contextmanager
 def ends_within(seconds: float) -> Iterator[None]:
-    """Fail if the block takes longer, also where it never lets go of the processor."""
+    """Fail if the block takes longer, even if it is a busy loop."""
     def stop(_: int, __: FrameType | None) -> None:
         raise AssertionError(f"still running after {seconds} s")
 
@@ -37,7 +37,7 @@
 
 
 def after_jobs_that_ran_for(spent_us: int) -> Referee:
-    """Return a dispatcher that has served some jobs of each class, each of them run for that long."""
+    """Return the referee of a dispatcher that has served ten jobs of each class with that run time."""
     referee = Referee(BASE)
     referee.play(fleet())
     for number in range(30):
@@ -50,7 +50,7 @@
 
 
 @pytest.mark.parametrize("spent_us", [0, 1, 3, 4, 100, 20_000])
-def test_an_attempt_that_is_still_out_is_looked_at_once_a_step(spent_us: int) -> None:
+def test_an_open_attempt_is_checked_once_a_step(spent_us: int) -> None:
     referee = after_jobs_that_ran_for(spent_us)
     with ends_within(LIMIT_S):
         assert pushes(referee.play(api.Arrival(100, 0, 5 * SECOND_US), after_us=BASE.tick_us))
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("spent_us", [0, 3])
-def test_a_look_put_off_comes_again_after_a_tick_at_least(spent_us: int) -> None:
+def test_a_postponed_check_comes_after_a_tick_at_least(spent_us: int) -> None:
     referee = after_jobs_that_ran_for(spent_us)
     referee.play(api.Arrival(100, 0, 5 * SECOND_US), after_us=BASE.tick_us)
     with ends_within(LIMIT_S):
@@ -69,8 +69,8 @@
             assert all(timer.after_us >= BASE.tick_us for timer in timers)
 
 
-def test_looks_that_are_due_without_a_lease_set_no_timers() -> None:
-    """They cannot be taken then; before, a timer came each tick for as long as the lease was out."""
+def test_checks_that_are_due_without_a_lease_set_no_timers() -> None:
+    """They set a timer for each tick, although no copy can be sent before the lease is renewed."""
     referee = after_jobs_that_ran_for(20_000)
     referee.play(api.Arrival(100, 0, 5 * SECOND_US), after_us=BASE.tick_us)
     referee.play(api.LeaseChanged(held=False))
--- a/tests/test_throttle.py
+++ b/tests/test_throttle.py
@@ -1,4 +1,4 @@
-"""The throttle against the two-buffer model of Berger and Whitt, section 2."""
+"""The throttle, compared with the two-buffer model of Berger and Whitt, section 2."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -9,7 +9,7 @@
 
 
 class TwoBuffers:
-    """Bank T and buffer J kept apart; a job of k slots enters whole or overflows."""
+    """The model: separate token bank and job buffer; a job of k slots enters whole or overflows."""
 
     def __init__(self, bank: int, buffer: int, tokens: int) -> None:
         self.bank, self.buffer, self.tokens, self.jobs = bank, buffer, tokens, 0
@@ -55,7 +55,7 @@
         assert one.level == other.level
 
 
-def test_resize_keeps_tokens_and_held_jobs() -> None:
+def test_resize_keeps_tokens_and_buffered_jobs() -> None:
     throttle = Throttle(4, 3, 1)
     throttle.resize(8, 1)
     assert (throttle.tokens, throttle.waiting) == (0, 2)
