--- a/hazellead/decide/dispatcher.py
+++ b/hazellead/decide/dispatcher.py
@@ -24,24 +24,24 @@
 if TYPE_CHECKING:
     from hazellead.decide import estimates as shared
 
-THROTTLE_WINDOW_S = 0.5  # seconds of its own tokens in a tenant's bank; part of the slack in its job buffer
+THROTTLE_WINDOW_S = 0.5  # capacity of a bank, in seconds of the tenant's tokens, and of a buffer, in slacks
 MIN_BANK_SLOTS = 3.0  # smallest capacity of a token bank, in slots
 SHORT_JOB_RUN_TIMES = 0.3  # length of a short job; jobs are buffered only as long as short ones can wait
 RATE_INCREASE = 0.2  # added to the rate factor per job served while throttles bind, times the free share
 RATE_DECREASE = 0.2  # share of the rate factor lost per sign of overload, times the share of busy slots
-INITIAL_RATE_FACTOR = 2.0  # high: overload shows within a few run times, needless refusals never show
+INITIAL_RATE_FACTOR = 2.0  # overload shows within a few run times, needless refusals do not
 MIN_RATE_FACTOR = 0.5  # the token rate never falls below this part of the starting rate
 QUOTA_HEADROOM = 1.25  # this dispatcher's part of the quotas, over the median tenant's demand per share
 DEMAND_RUN_TIMES = 40.0  # mean run times over which a tenant's demand is averaged
 KIND_WEIGHT_RUN_TIMES = 12  # without hints, a kind's pace weighs as much as this many of a worker's run times
 LEARN_RATE = 0.1  # weight of the newest observation in running averages
 SILENCE_RUN_TIMES = 4.0  # mean run times of unanswered work that make a worker silent, an attempt overdue
-TRIAL_DOUBT = 0.25  # doubt from which a worker gets trial jobs only; a failure halves blame and adds 1
+TRIAL_DOUBT = 0.25  # doubt from which a worker gets trial jobs only; blame is halved, plus 1 for a failure
 FIRST_RESET_BLAME = 0.15  # blame for a first broken connection; below TRIAL_DOUBT
 COLD_BUDGET_SHARE = 0.6  # part of a cold worker's budget that is used
 COLD_CAPACITY_MULTIPLE = 1.7  # without reports: cap, over a cold worker's minimum capacity, which most exceed
 COLD_MARGIN_DEVIATIONS = 1.5  # standard deviations kept free in the budget: dispatchers draw independently
-COPIES_PER_PUSH = 0.1  # second copies allowed per push; each start delayed by queueing takes one back
+COPIES_PER_PUSH = 0.1  # second copies allowed per push; each start that queueing made late takes one back
 PROBE_POINTS_PER_REQUEST = 0.01  # price points that may be spent on probes per request
 SUBSCRIBE_SPREAD_TICKS = 10  # ticks per dispatcher over which the first calls to the list service are spread
 PROBE_WAIT_SHARE, PROBES_AT_ONCE = 0.75, 3  # part of the slack a job waits for a probed free slot; probes out
--- a/tests/test_second_copies.py
+++ b/tests/test_second_copies.py
@@ -3,8 +3,8 @@
 ``Dispatcher.handle`` did not return where jobs ran for less than a tick. The start and the end of such a job
 are reported in one step, so its run time counts as 1 us. A check of an attempt that needs no copy yet was
 postponed by a quarter of the mean run time in whole microseconds, which is 0 for means under 4 us, so it was
-due again at once: with means of 1 and 3 us the loop in ``_send_copies`` had taken the same check from the heap
-200,000 times when it was interrupted, with 4 us once.
+due again at once. With means of 1 and 3 us the loop in ``_send_copies`` had taken the same check from the
+heap 200,000 times when it was interrupted, with 4 us once.
 """
 
 import signal
