--- a/hazellead/__init__.py
+++ b/hazellead/__init__.py
@@ -1,5 +1,5 @@
-"""Decisions for a dispatcher that sits beside a submitter and pushes jobs to workers."""
+"""A dispatcher that admits tenants' jobs, pushes them to workers and retries them: decisions without I/O."""
 
-from hazellead.decide.choice import Dispatcher
+from hazellead.decide.dispatcher import Dispatcher
 
 __all__ = ["Dispatcher"]
--- a/hazellead/core/scheduler.py
+++ b/hazellead/core/scheduler.py
@@ -22,11 +22,11 @@
     WorkerTransport,
 )
 from hazellead.decide import interface as api
-from hazellead.decide.choice import Dispatcher
+from hazellead.decide.dispatcher import Dispatcher
 from hazellead.limits import Limits
 
 if TYPE_CHECKING:
-    from hazellead.decide.known import Known
+    from hazellead.decide.estimates import SharedEstimates
 
 log = structlog.get_logger()
 
@@ -117,7 +117,7 @@
         """Put a generation into effect for jobs submitted from now on."""
         self.generation, self.settings = generation, generation.settings
         self._tick = from_us(self.settings.tick_us)
-        self._enqueue(api.Retuned(self.settings, generation.fresh))
+        self._enqueue(api.SettingsChanged(self.settings, generation.fresh))
 
     @property
     def open_identities(self) -> frozenset[str]:
@@ -157,10 +157,11 @@
         self._cap_deadline(request)
         self._requests[request.number] = request
         self._identities.add(job.identity)
-        made = tuple(api.Made(a.worker, to_us(a.sent - EPOCH), to_us(a.began_at - EPOCH) if a.began_at else 0,
-                              a.outcome) for a in attempts)
+        made = tuple(api.PriorAttempt(
+            a.worker, to_us(a.sent - EPOCH), to_us(a.began_at - EPOCH) if a.began_at else 0, a.outcome,
+        ) for a in attempts)
         self._enqueue(api.Arrival(
-            request.number, job.job_class, to_us(left), job.tenant, job.slots, made=made))
+            request.number, job.job_class, to_us(left), job.tenant, job.slots, prior_attempts=made))
 
     def abandon(self, number: int) -> None:
         """Record that the client has disconnected; the dispatcher decides whether to cancel open attempts."""
@@ -359,15 +360,15 @@
         """Return the name under which all processes know a worker."""
         return self._directory.name(worker)
 
-    def known(self) -> "Known":
+    def known(self) -> "SharedEstimates":
         """Return what this scheduler's dispatcher has observed itself."""
-        return self._dispatcher.known()
+        return self._dispatcher.export_estimates()
 
-    def learn(self, known: "Known") -> None:
+    def learn(self, known: "SharedEstimates") -> None:
         """Pass observations of other instances to the dispatcher, once it has handled all queued events."""
         if self._events:
             self._step()
-        self._dispatcher.learn(known)
+        self._dispatcher.adopt_estimates(known)
 
     @property
     def listed_workers(self) -> tuple[int, int]:
@@ -387,7 +388,7 @@
         """Report to the dispatcher the open attempts of another process of this scheduler, by worker."""
         for worker in self._attempts_elsewhere.keys() | counts.keys():
             if (now := counts.get(worker, (0, 0))) != self._attempts_elsewhere.get(worker, (0, 0)):
-                self._enqueue(api.Elsewhere(worker, *now))
+                self._enqueue(api.PredecessorLoad(worker, *now))
         self._attempts_elsewhere = counts
 
     # Reports from attempts.
@@ -519,7 +520,7 @@
         has_open = any(a.outcome is None for a in request.attempts)
         request.attempts.append(attempt)
         job_class = request.job.job_class
-        max_attempts, copies = self.settings.attempts(job_class), self.settings.copies(job_class)
+        max_attempts, copies = self.settings.attempt_limit(job_class), self.settings.allows_copies(job_class)
         if number >= max_attempts or now >= until or (has_open and not copies) or (
                 not attempt.may_send()):
             attempt.end(api.Outcome.MOOT)
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -19,7 +19,7 @@
 
 from hazellead.core import generations
 from hazellead.decide import interface as api
-from hazellead.decide.choice import Dispatcher
+from hazellead.decide.dispatcher import Dispatcher
 
 KINDS = [api.JobClass(100_000, limit, effect) for limit in (1_000_000, 5_000_000) for effect in api.Effect]
 TENANTS = ["a", "b", "c"]
@@ -41,7 +41,7 @@
         at %= len(self.names)
         number = self.now.class_ids[at]
         self.open_jobs.append((number, self.now.tenant_ids[0], self.now.settings.classes[number],
-                               self.now.settings.attempts(number)))
+                               self.now.settings.attempt_limit(number)))
         self.clock += 4000
         self.dispatcher.handle(
             self.clock, [api.Arrival(len(self.open_jobs), number, 900_000, self.now.tenant_ids[0])])
@@ -64,7 +64,7 @@
         assert self.now.number == before.number + 1
         for name, kind, number in zip(names, kinds, self.now.class_ids, strict=False):
             rules = self.now.settings.classes[number]
-            assert self.now.class_rows[number][0] == name and self.now.settings.attempts(number) == most
+            assert self.now.class_rows[number][0] == name and self.now.settings.attempt_limit(number) == most
             assert replace(rules, max_attempts=0, alone=False) == kind
             assert (number in self.now.fresh) == (
                 number >= len(before.class_rows) or before.class_rows[number] != self.now.class_rows[number])
@@ -72,13 +72,13 @@
         for name, number in zip(tenants, self.now.tenant_ids, strict=True):
             assert self.now.tenant_rows[number][0] == name
         self.clock += 4000
-        self.dispatcher.handle(self.clock, [api.Retuned(self.now.settings, self.now.fresh)])
+        self.dispatcher.handle(self.clock, [api.SettingsChanged(self.now.settings, self.now.fresh)])
 
     @invariant()
     def open_jobs_keep_their_rules(self) -> None:
         for number, tenant, kind, attempts in self.open_jobs:
             assert self.now.settings.classes[number] == kind
-            assert self.now.settings.attempts(number) == attempts
+            assert self.now.settings.attempt_limit(number) == attempts
             assert self.now.settings.tenants[tenant].portion == 0.5
         shares = [t.share for t in self.dispatcher.tenants]
         assert len(shares) == len(self.now.tenant_rows) and abs(sum(shares) - 1) < 1e-9 and min(shares) > 0
@@ -99,7 +99,7 @@
     now = generations.next_after(before, once, ["post"], [], {0}, {0})
     assert now.class_ids == (1,) and now.settings.classes[0].effect is api.Effect.SAFE
     second = pushes(dispatcher.handle(
-        4000, [api.Retuned(now.settings, now.fresh), api.Arrival(2, 1, 5_000_000)]))
+        4000, [api.SettingsChanged(now.settings, now.fresh), api.Arrival(2, 1, 5_000_000)]))
     assert [p.request for p in second] == [2]
     reset = api.Outcome.RESET
     actions = dispatcher.handle(64_000, [api.AttemptEnded(1, 0, first[0].worker, reset, 64_000, False),
@@ -121,7 +121,7 @@
     assert dispatcher.run_us[0] > 250_000
     settings = api.Settings((KINDS[2], KINDS[5]), max_attempts=2)
     now = generations.next_after(before, settings, ["post", "v2"], [], (), ())
-    dispatcher.handle(17_000_000, [api.Retuned(now.settings, now.fresh)])
+    dispatcher.handle(17_000_000, [api.SettingsChanged(now.settings, now.fresh)])
     assert now.fresh and dispatcher.run_us[now.class_ids[1]] == dispatcher.mean_run > 250_000
 
 
