--- a/hazellead/gearman/assembly.py
+++ b/hazellead/gearman/assembly.py
@@ -55,7 +55,7 @@
         self.workers = GearmanWorkers(
             lambda n: self.inventory.name(n), limits, self._present, IOLoop.current())
         self.inventory = Inventory(
-            given.inventory, given.base.names, limits, clock, scheduler.listed, self.workers.recheck)
+            given.inventory, given.base.names, limits, clock, scheduler.listed, self.workers.end_unsendable)
         self.http = HttpWorkers(self.inventory, limits, clock)
         scheduler.connect(Transports(self.inventory, self.http, self.workers), self.inventory)
         self.submissions = Submissions(
--- a/hazellead/gearman/clients.py
+++ b/hazellead/gearman/clients.py
@@ -118,7 +118,7 @@
         """Keep in mind which jobs end with this connection, forgetting those that are over."""
         self._tickets = {t for t in self._tickets if not t.over} | {ticket}
 
-    def take(self, packet: Packet) -> None:
+    def handle_packet(self, packet: Packet) -> None:
         """Follow one of its packets."""
         kind, table = Type(packet.type), self._submissions.table
         if kind in _SUBMIT:
@@ -143,7 +143,7 @@
         """Say whether it is still owed the end of a job."""
         return any(not ticket.over for ticket in self._tickets)
 
-    def lost(self) -> None:
+    def connection_lost(self) -> None:
         """End with its connection."""
         self._submissions.leave(self, self._tickets)
 
--- a/hazellead/gearman/server.py
+++ b/hazellead/gearman/server.py
@@ -74,14 +74,14 @@
         except PacketError as error:
             log.warning("gearman_packet_refused", peer=self.peer, reason=str(error))
             self.client.error("malformed", str(error))
-            self.client.lost()  # nothing more is begun for it while it may still read this
+            self.client.connection_lost()  # nothing more is begun for it while it may still read this
             await close_gently(self._stream, self._server.limits)
         except (StreamClosedError, TimeoutError):
             pass
         finally:
             self._stream.close()
-            self.client.lost()
-            self._server.workers.lost(self.worker)
+            self.client.connection_lost()
+            self._server.workers.connection_lost(self.worker)
 
     async def finish(self) -> None:
         """End the connection without losing what was written."""
@@ -106,9 +106,9 @@
 
     def _take(self, packet: Packet) -> None:
         if packet.type in clients.TYPES and not packet.response:
-            self.client.take(packet)
+            self.client.handle_packet(packet)
         elif packet.type in workers.TYPES and not packet.response:
-            self.worker.take(packet)
+            self.worker.handle_packet(packet)
         else:
             self.client.error("unsupported", f"packet type {packet.type} is not served here")
 
--- a/tests/test_gearman_parts.py
+++ b/tests/test_gearman_parts.py
@@ -170,7 +170,7 @@
 
     def take(self, kind: Type, *args: bytes) -> list[tuple[Type, tuple[bytes, ...]]]:
         before = len(self.line.got)
-        self.session.take(Packet(kind, args))
+        self.session.handle_packet(Packet(kind, args))
         return self.line.got[before:]
 
     @rule(able=st.booleans(), timeout=st.booleans())
@@ -219,7 +219,7 @@
     @rule(drained=st.booleans())
     def drain(self, drained: bool) -> None:
         self.host.open = not drained
-        self.station.recheck()
+        self.station.end_unsendable()
         if drained:
             self.handed_back()
 
@@ -239,7 +239,7 @@
     @rule()
     def drop(self) -> None:
         self.line.open = False
-        self.station.lost(self.session)
+        self.station.connection_lost(self.session)
         for number in self.assigned:
             assert self.host.ends[number] is Outcome.RESET, "it may have run"
         for attempt in self.waiting:
