--- a/hazellead/gearman/clients.py
+++ b/hazellead/gearman/clients.py
@@ -63,7 +63,7 @@
                 ticket.replay(client)
                 return
             ticket.join(client)
-            client.waits_for(ticket)
+            client.track(ticket)
         self._scheduler.rejoin(ticket.number)
         if not fresh:
             return
@@ -114,7 +114,7 @@
         """Write an ERROR packet."""
         self.send(Type.ERROR, code.encode(), text.encode())
 
-    def waits_for(self, ticket: Ticket) -> None:
+    def track(self, ticket: Ticket) -> None:
         """Keep in mind which jobs end with this connection, forgetting those that are over."""
         self._tickets = {t for t in self._tickets if not t.over} | {ticket}
 
@@ -139,7 +139,7 @@
             self.send(Type.STATUS_RES_UNIQUE, packet.args[0], *self._status(ticket), b"%d" % waiting)
 
     @property
-    def waits(self) -> bool:
+    def has_unfinished_jobs(self) -> bool:
         """Say whether it is still owed the end of a job."""
         return any(not ticket.over for ticket in self._tickets)
 
--- a/tests/test_gearman_front.py
+++ b/tests/test_gearman_front.py
@@ -175,11 +175,11 @@
             await client.expect(Type.ECHO_RES)
             assert s.program.gearman
             server, loop, done = s.program.gearman.server, asyncio.get_running_loop(), list[int]()
-            connection = list(server.open)[-1]
+            connection = list(server.connections)[-1]
 
             def look() -> None:
                 # It comes before what the read wakes, as it was put into the loop's queue before.
-                if connection._reading and connection._reading.done():
+                if connection._pending_read and connection._pending_read.done():
                     server.end_idle()
                     done.append(1)
                 else:
@@ -242,7 +242,7 @@
                 await submit(client, b"a", b"key")
                 await until(lambda: count[b"a"])
                 client.close()
-                await until(lambda: not s.program.gearman or len(s.program.gearman.server.open) == 0)
+                await until(lambda: not s.program.gearman or len(s.program.gearman.server.connections) == 0)
                 if back:
                     client = await GearmanPeer.connect(s.port)
                     await submit(client, b"a", b"key")
