--- a/hazellead/gearman/clients.py
+++ b/hazellead/gearman/clients.py
@@ -1,4 +1,4 @@
-"""Gearman clients: submissions, status and options, turned into jobs for the scheduler."""
+"""Gearman clients: submits their jobs to the scheduler and answers status and option requests."""
 
 import hashlib
 import uuid
@@ -8,7 +8,7 @@
 
 from hazellead.core.jobs import Job
 from hazellead.core.scheduler import Scheduler
-from hazellead.gearman.jobs import JobTable, Key, Ticket
+from hazellead.gearman.jobs import GearmanJob, JobTable, Key
 from hazellead.gearman.packets import Packet, Type
 
 _BACKGROUND = {Type.SUBMIT_JOB_BG, Type.SUBMIT_JOB_HIGH_BG, Type.SUBMIT_JOB_LOW_BG}
@@ -18,7 +18,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Function:
-    """What a Gearman function is to the scheduler."""
+    """A Gearman function that is served: its job class, tenant and deadline for the scheduler."""
 
     name: str
     job_class: int
@@ -28,18 +28,18 @@
 
 
 class Submissions:
-    """Takes jobs in for all Gearman clients."""
+    """Submits the jobs of all Gearman clients to the scheduler."""
 
     def __init__(
         self, scheduler: Scheduler, table: JobTable, functions: Mapping[str, Function],
         takes_jobs: Callable[[], bool],
     ) -> None:
-        """Serve the functions that the operator lists."""
+        """Serve ``functions``, by name; jobs are refused while ``takes_jobs`` returns False."""
         self._scheduler, self.table, self.functions = scheduler, table, functions
         self._takes_jobs = takes_jobs
 
     def submit(self, client: "ClientSession", packet: Packet) -> None:
-        """Start a job, join a live one or replay an outcome."""
+        """Start a job, or, if its unique key is known, join the live job or replay its final packet."""
         name, unique, data = packet.args
         function = self.functions.get(name.decode("latin-1"))
         if function is None:
@@ -49,62 +49,63 @@
             client.error("too_large", "workload or unique key is too large")
             return
         background = packet.type in _BACKGROUND
-        key = self._key(name, unique, data)
-        ticket = self.table.find(key)
-        if ticket and len(ticket.listeners) >= self._scheduler.limits.requests:
+        key = self._unique_key(name, unique, data)
+        gearman_job = self.table.find(key)
+        if gearman_job and len(gearman_job.listeners) >= self._scheduler.limits.requests:
             client.error("too_many", "too many wait for this key")
             return
-        fresh = ticket is None
-        ticket = ticket or self.table.add(function.name, key, background)
-        ticket.background = ticket.background or background
-        client.send(Type.JOB_CREATED, ticket.handle)
+        is_new = gearman_job is None
+        gearman_job = gearman_job or self.table.add(function.name, key, background)
+        gearman_job.background = gearman_job.background or background
+        client.send(Type.JOB_CREATED, gearman_job.handle)
         if not background:
-            if ticket.over:
-                ticket.replay(client)
+            if gearman_job.ended:
+                gearman_job.replay(client)
                 return
-            ticket.join(client)
-            client.track(ticket)
-        self._scheduler.rejoin(ticket.number)
-        if not fresh:
+            gearman_job.join(client)
+            client.track(gearman_job)
+        self._scheduler.rejoin(gearman_job.number)
+        if not is_new:
             return
-        now = self._scheduler.generation
-        tenant = now.tenants[function.tenant] if now.tenants else 0
-        job = Job(uuid.uuid4().hex, f"/{function.class_name}", data, now.classes[function.job_class], tenant,
-                  function.deadline, function=function.name, unique=unique.decode("latin-1"),
+        generation = self._scheduler.generation
+        tenant = generation.tenants[function.tenant] if generation.tenants else 0
+        job = Job(uuid.uuid4().hex, f"/{function.class_name}", data, generation.classes[function.job_class],
+                  tenant, function.deadline, function=function.name, unique=unique.decode("latin-1"),
                   class_name=function.class_name)
         if not self._takes_jobs():
-            self._scheduler.refuse(job, ticket)
+            self._scheduler.refuse(job, gearman_job)
             return
-        ticket.number = self._scheduler.submit(job, ticket)
+        gearman_job.number = self._scheduler.submit(job, gearman_job)
 
-    def leave(self, client: "ClientSession", tickets: set[Ticket]) -> None:
-        """Give up what only this client waited for.
+    def client_left(self, client: "ClientSession", gearman_jobs: set[GearmanJob]) -> None:
+        """Give up the jobs that only this client waited for.
 
-        Guards against posting twice: what a worker may be at goes on if the job has a unique key, since a
-        client that comes back must find it live or find its outcome. Nothing more is begun for it meanwhile.
+        A job with a unique key that a worker may be running goes on, and no new attempt of it starts
+        meanwhile: a client that submits it again has to find the live job or its outcome, or it would run
+        twice.
         """
-        for ticket in tickets:
-            if ticket.leave(client) and ticket.number:
-                if ticket.key is not None:
-                    self._scheduler.orphan(ticket.number)
+        for gearman_job in gearman_jobs:
+            if gearman_job.leave(client) and gearman_job.number:
+                if gearman_job.key is not None:
+                    self._scheduler.orphan(gearman_job.number)
                     continue
-                self._scheduler.abandon(ticket.number)
-                self.table.live.pop(ticket.handle, None)
+                self._scheduler.abandon(gearman_job.number)
+                self.table.live.pop(gearman_job.handle, None)
 
-    def _key(self, name: bytes, unique: bytes, data: bytes) -> Key | None:
-        if unique == b"-":  # the protocol's word for the workload as the key
+    def _unique_key(self, name: bytes, unique: bytes, data: bytes) -> Key | None:
+        if unique == b"-":  # in the protocol: the workload is the key
             return name, b"-" + hashlib.sha256(data).hexdigest().encode()
         return (name, unique) if unique else None
 
 
 class ClientSession:
-    """One client's connection."""
+    """The state of one client connection: its option and the jobs that it waits for."""
 
     def __init__(self, submissions: Submissions, send: Callable[..., object]) -> None:
-        """Start with no options."""
+        """Start without the option "exceptions" and without jobs; ``send`` writes a packet."""
         self._submissions, self._send = submissions, send
-        self.exceptions = False
-        self._tickets: set[Ticket] = set()
+        self.wants_exceptions = False
+        self._awaited_jobs: set[GearmanJob] = set()
 
     def send(self, number: Type, *args: bytes) -> None:
         """Write a packet."""
@@ -114,40 +115,41 @@
         """Write an ERROR packet."""
         self.send(Type.ERROR, code.encode(), text.encode())
 
-    def track(self, ticket: Ticket) -> None:
-        """Keep in mind which jobs end with this connection, forgetting those that are over."""
-        self._tickets = {t for t in self._tickets if not t.over} | {ticket}
+    def track(self, gearman_job: GearmanJob) -> None:
+        """Add a job that this client waits for, and forget those that have ended."""
+        self._awaited_jobs = {job for job in self._awaited_jobs if not job.ended} | {gearman_job}
 
     def handle_packet(self, packet: Packet) -> None:
-        """Follow one of its packets."""
+        """Process a packet from the client."""
         kind, table = Type(packet.type), self._submissions.table
         if kind in _SUBMIT:
             self._submissions.submit(self, packet)
         elif kind is Type.ECHO_REQ:
             self.send(Type.ECHO_RES, packet.args[0])
         elif kind is Type.OPTION_REQ and packet.args[0] == b"exceptions":
-            self.exceptions = True
+            self.wants_exceptions = True
             self.send(Type.OPTION_RES, packet.args[0])
         elif kind is Type.OPTION_REQ:
             self.error("unknown_option", "the one option is exceptions")
         elif kind is Type.GET_STATUS:
-            ticket = table.live.get(packet.args[0])
-            self.send(Type.STATUS_RES, packet.args[0], *self._status(ticket))
+            gearman_job = table.live.get(packet.args[0])
+            self.send(Type.STATUS_RES, packet.args[0], *self._status_args(gearman_job))
         elif kind is Type.GET_STATUS_UNIQUE:
-            ticket = table.by_unique(packet.args[0])
-            waiting = len(ticket.listeners) if ticket else 0
-            self.send(Type.STATUS_RES_UNIQUE, packet.args[0], *self._status(ticket), b"%d" % waiting)
+            gearman_job = table.by_unique(packet.args[0])
+            waiting = len(gearman_job.listeners) if gearman_job else 0
+            self.send(
+                Type.STATUS_RES_UNIQUE, packet.args[0], *self._status_args(gearman_job), b"%d" % waiting)
 
     @property
     def has_unfinished_jobs(self) -> bool:
-        """Say whether it is still owed the end of a job."""
-        return any(not ticket.over for ticket in self._tickets)
+        """Whether the client waits for a job that has not ended."""
+        return any(not job.ended for job in self._awaited_jobs)
 
     def connection_lost(self) -> None:
-        """End with its connection."""
-        self._submissions.leave(self, self._tickets)
+        """Leave the jobs of a closed connection; those that only this client waited for are given up."""
+        self._submissions.client_left(self, self._awaited_jobs)
 
-    def _status(self, ticket: Ticket | None) -> tuple[bytes, ...]:
-        if ticket is None:
+    def _status_args(self, gearman_job: GearmanJob | None) -> tuple[bytes, ...]:
+        if gearman_job is None:
             return b"0", b"0", b"0", b"0"
-        return b"1", b"%d" % ticket.running, *ticket.status()
+        return b"1", b"%d" % gearman_job.running, *gearman_job.status()
--- a/hazellead/gearman/jobs.py
+++ b/hazellead/gearman/jobs.py
@@ -1,9 +1,9 @@
-"""Gearman clients' jobs: who waits for each, and which unique keys are live or have lately ended.
+"""Jobs of Gearman clients: which clients wait for each, and which unique keys are live or recently ended.
 
-The table covers this one process since its start. A live key is never dropped: a second submission joins the
+The table covers this process since its start. A live key is never dropped: a second submission joins the
 job. An ended key is kept for ``Limits.remembered_for``, as long as no more than ``Limits.remembered`` keys
-and ``Limits.remembered_bytes`` of results are kept; the oldest go first. A refusal is not kept, since
-nothing ran. A key that has been dropped, or that another scheduler took, counts as new.
+and ``Limits.remembered_bytes`` of results are kept; the oldest are dropped first. A refusal is not kept,
+since nothing ran. A key that was dropped, or that another scheduler accepted, counts as new.
 """
 
 from collections import OrderedDict
@@ -16,157 +16,163 @@
 from hazellead.gearman.packets import Type
 from hazellead.limits import Limits
 
-PARTS = 1000  # progress is told in thousandths
+PROGRESS_PARTS = 1000  # progress is reported in thousandths
 
-Key = tuple[bytes, bytes]  # function and unique key
+Key = tuple[bytes, bytes]  # function name and unique key
 
 
 class Listener(Protocol):
-    """A client's connection."""
+    """A client connection that is sent a job's packets."""
 
-    exceptions: bool
+    wants_exceptions: bool
 
     def send(self, number: Type, *args: bytes) -> None:
-        """Write a packet; of no effect once the connection has ended."""
+        """Write a packet; does nothing once the connection is closed."""
 
 
-class Ticket:
-    """One job as its Gearman clients see it; the scheduler's reply to all of them."""
+class GearmanJob:
+    """A job with its Gearman clients; as the scheduler's ``ClientReply`` it sends them its progress and end.
+
+    Several clients wait for one job if they submitted the same unique key.
+    """
 
     def __init__(
         self, handle: bytes, function: str, key: Key | None, background: bool,
-        ended: Callable[["Ticket"], None],
+        on_end: Callable[["GearmanJob"], None],
     ) -> None:
-        """Start as known and waiting."""
+        """Start as a job that is known and not yet running; ``on_end`` is called once, at its end."""
         self.handle, self.function, self.key = handle, function, key
-        self.background, self._ended = background, ended
-        self.number = 0  # the scheduler's, once it took the job
+        self.background, self._on_end = background, on_end
+        self.number = 0  # the scheduler's request number; 0 until it has accepted the job
         self.listeners: list[Listener] = []
-        self.running, self.done = False, 0  # thousandths
-        self.final: tuple[Type, bytes | None] | None = None  # None too for a refusal
-        self.over = False
+        self.running, self.done_parts = False, 0  # of PROGRESS_PARTS
+        # The type and the result of the last packet; None before the end and after a refusal.
+        self.final_packet: tuple[Type, bytes | None] | None = None
+        self.ended = False
 
     def join(self, listener: Listener) -> None:
-        """Add a submitter and tell it how far the job is."""
+        """Add a waiting client; if the job is running, send it the progress."""
         self.listeners.append(listener)
         if self.running:
             listener.send(Type.WORK_STATUS, self.handle, *self.status())
 
     def leave(self, listener: Listener) -> bool:
-        """Drop a connection; say whether nobody waits for the job any more."""
-        self.listeners = [one for one in self.listeners if one is not listener]
-        return not self.listeners and not self.background and not self.over
+        """Remove a client; return whether the job is unfinished, in the foreground and without clients."""
+        self.listeners = [other for other in self.listeners if other is not listener]
+        return not self.listeners and not self.background and not self.ended
 
     def status(self) -> tuple[bytes, bytes]:
-        """Return numerator and denominator of the part done."""
-        return b"%d" % self.done, b"%d" % PARTS
+        """Return the numerator and denominator of the part done, as a WORK_STATUS packet has them."""
+        return b"%d" % self.done_parts, b"%d" % PROGRESS_PARTS
 
     def served(self, result: bytes) -> None:
-        """Send the result."""
+        """Send WORK_COMPLETE with the result."""
         self._end((Type.WORK_COMPLETE, result))
 
     def refused(self, retry_after: timedelta) -> None:
-        """Say when to come back, then fail."""
+        """Send the time after which to retry, as an exception or a warning, then WORK_FAIL."""
         text = b"refused: retry after %.3f s" % max(retry_after.total_seconds(), 0.001)
-        for one in self.listeners:
-            one.send(Type.WORK_EXCEPTION if one.exceptions else Type.WORK_WARNING, self.handle, text)
+        for listener in self.listeners:
+            listener.send(
+                Type.WORK_EXCEPTION if listener.wants_exceptions else Type.WORK_WARNING, self.handle, text)
         self._end(None)
 
     def failed(self, reason: str) -> None:
-        """Fail."""
+        """Send WORK_FAIL; Gearman has no field for the reason."""
         self._end((Type.WORK_FAIL, None))
 
     def began(self) -> None:
-        """Report the start, once."""
+        """Send the first WORK_STATUS; later calls do nothing."""
         if not self.running:
             self.running = True
-            self._tell(Type.WORK_STATUS, *self.status())
+            self._send_to_all(Type.WORK_STATUS, *self.status())
 
     def progressed(self, share: float) -> None:
-        """Report the part done."""
-        self.running, self.done = True, round(min(max(share, 0.0), 1.0) * PARTS)
-        self._tell(Type.WORK_STATUS, *self.status())
+        """Send the part done, given from 0 to 1."""
+        self.running, self.done_parts = True, round(min(max(share, 0.0), 1.0) * PROGRESS_PARTS)
+        self._send_to_all(Type.WORK_STATUS, *self.status())
 
     def partial(self, data: bytes, *, warning: bool, exception: bool) -> None:
-        """Pass on what the worker says before its end."""
+        """Forward a worker's data, warning or exception; exceptions go to clients with that option only."""
         if exception:
-            for one in self.listeners:
-                if one.exceptions:
-                    one.send(Type.WORK_EXCEPTION, self.handle, data)
+            for listener in self.listeners:
+                if listener.wants_exceptions:
+                    listener.send(Type.WORK_EXCEPTION, self.handle, data)
         else:
-            self._tell(Type.WORK_WARNING if warning else Type.WORK_DATA, data)
+            self._send_to_all(Type.WORK_WARNING if warning else Type.WORK_DATA, data)
 
     def replay(self, listener: Listener) -> None:
-        """Send the final packet; that of a refusal is a failure."""
-        number, result = self.final or (Type.WORK_FAIL, None)
+        """Send one client the final packet; WORK_FAIL after a refusal."""
+        number, result = self.final_packet or (Type.WORK_FAIL, None)
         listener.send(number, self.handle, *(() if result is None else (result,)))
 
-    def _tell(self, number: Type, *args: bytes) -> None:
-        for one in self.listeners:
-            one.send(number, self.handle, *args)
+    def _send_to_all(self, number: Type, *args: bytes) -> None:
+        for listener in self.listeners:
+            listener.send(number, self.handle, *args)
 
-    def _end(self, final: tuple[Type, bytes | None] | None) -> None:
-        self.final, self.over = final, True
-        for one in self.listeners:
-            self.replay(one)
+    def _end(self, final_packet: tuple[Type, bytes | None] | None) -> None:
+        self.final_packet, self.ended = final_packet, True
+        for listener in self.listeners:
+            self.replay(listener)
         self.listeners = []
-        self._ended(self)
+        self._on_end(self)
 
 
 @dataclass(slots=True, frozen=True)
-class _Ended:
-    ticket: Ticket
-    at: datetime
+class _EndedJob:
+    job: GearmanJob
+    ended_at: datetime
 
 
 class JobTable:
-    """The live jobs, and the final outcomes of keys that have lately ended."""
+    """The live jobs, and the final packets of recently ended jobs by their unique keys."""
 
     def __init__(self, name: str, limits: Limits, clock: Clock) -> None:
-        """Start empty; handles carry the scheduler's name."""
-        self._name, self._limits, self._clock, self._count = name.encode(), limits, clock, 0
-        self.live: dict[bytes, Ticket] = {}  # by handle
-        self._keys: dict[Key, Ticket] = {}
-        self._ended: OrderedDict[Key, _Ended] = OrderedDict()
-        self._bytes = 0
-
-    def find(self, key: Key | None) -> Ticket | None:
-        """Return the job of a key: a live one, or one whose outcome is still remembered."""
+        """Start empty; ``name``, the scheduler's, becomes part of the job handles."""
+        self._name, self._limits, self._clock, self._last_number = name.encode(), limits, clock, 0
+        self.live: dict[bytes, GearmanJob] = {}  # by handle
+        self._live_by_key: dict[Key, GearmanJob] = {}
+        self._ended_by_key: OrderedDict[Key, _EndedJob] = OrderedDict()
+        self._result_bytes = 0
+
+    def find(self, key: Key | None) -> GearmanJob | None:
+        """Return the job of a key: a live one, or one whose outcome is still remembered; else None."""
         if key is None:
             return None
-        if live := self._keys.get(key):
+        if live := self._live_by_key.get(key):
             return live
         self._prune()
-        return self._ended[key].ticket if key in self._ended else None
+        return self._ended_by_key[key].job if key in self._ended_by_key else None
 
-    def add(self, function: str, key: Key | None, background: bool) -> Ticket:
-        """Start a new job."""
-        self._count += 1
-        ticket = Ticket(b"H:%s:%d" % (self._name, self._count), function, key, background, self._end)
-        self.live[ticket.handle] = ticket
+    def add(self, function: str, key: Key | None, background: bool) -> GearmanJob:
+        """Add a new job under a new handle; without a key no later submission can join it."""
+        self._last_number += 1
+        job = GearmanJob(b"H:%s:%d" % (self._name, self._last_number), function, key, background, self._end)
+        self.live[job.handle] = job
         if key:
-            self._keys[key] = ticket
-        return ticket
+            self._live_by_key[key] = job
+        return job
 
-    def by_unique(self, unique: bytes) -> Ticket | None:
-        """Return a live job that has this key under any function."""
-        return next((t for key, t in self._keys.items() if key[1] == unique), None)
+    def by_unique(self, unique: bytes) -> GearmanJob | None:
+        """Return a live job that has this unique key, of any function; None if there is none."""
+        return next((job for key, job in self._live_by_key.items() if key[1] == unique), None)
 
-    def _end(self, ticket: Ticket) -> None:
-        self.live.pop(ticket.handle, None)
-        if ticket.key is None:
+    def _end(self, job: GearmanJob) -> None:
+        self.live.pop(job.handle, None)
+        if job.key is None:
             return
-        del self._keys[ticket.key]
-        if ticket.final:
-            self._ended[ticket.key] = _Ended(ticket, self._clock.now())
-            self._bytes += len(ticket.final[1] or b"")
+        del self._live_by_key[job.key]
+        if job.final_packet:
+            self._ended_by_key[job.key] = _EndedJob(job, self._clock.now())
+            self._result_bytes += len(job.final_packet[1] or b"")
             self._prune()
 
     def _prune(self) -> None:
-        old = self._clock.now() - self._limits.remembered_for
-        while self._ended and (
-            len(self._ended) > self._limits.remembered or self._bytes > self._limits.remembered_bytes
-            or next(iter(self._ended.values())).at < old
+        oldest_kept = self._clock.now() - self._limits.remembered_for
+        while self._ended_by_key and (
+            len(self._ended_by_key) > self._limits.remembered
+            or self._result_bytes > self._limits.remembered_bytes
+            or next(iter(self._ended_by_key.values())).ended_at < oldest_kept
         ):
-            _, gone = self._ended.popitem(last=False)
-            self._bytes -= len(gone.ticket.final[1] or b"") if gone.ticket.final else 0
+            _, evicted = self._ended_by_key.popitem(last=False)
+            self._result_bytes -= len(evicted.job.final_packet[1] or b"") if evicted.job.final_packet else 0
--- a/tests/test_gearman_parts.py
+++ b/tests/test_gearman_parts.py
@@ -16,7 +16,7 @@
 from hazellead.decide import interface as api
 from hazellead.decide.interface import Outcome, Phase
 from hazellead.gearman import inventory, workers
-from hazellead.gearman.jobs import JobTable, Ticket
+from hazellead.gearman.jobs import GearmanJob, JobTable
 from hazellead.gearman.packets import ARGUMENTS, Packet, PacketError, Parser, Type, write
 from hazellead.lab.time import VirtualTime
 from hazellead.limits import Limits
@@ -54,7 +54,7 @@
 class Client:
     """A listener that notes its packets."""
 
-    exceptions = False
+    wants_exceptions = False
 
     def __init__(self) -> None:
         self.got: Counter[Type] = Counter()
@@ -72,8 +72,8 @@
         super().__init__()
         self.time = VirtualTime()
         self.table = JobTable("n", self.limits, self.time)  # type: ignore[arg-type]
-        self.live: dict[bytes, Ticket] = {}
-        self.ended: list[tuple[bytes, Ticket, Any, int]] = []  # key, ticket, when, size; the oldest first
+        self.live: dict[bytes, GearmanJob] = {}
+        self.ended: list[tuple[bytes, GearmanJob, Any, int]] = []  # key, ticket, when, size; the oldest first
         self.waiting: dict[bytes, list[Client]] = {}
 
     @rule(key=st.sampled_from([b"a", b"b", b"c", b"d"]))
@@ -93,15 +93,15 @@
     @rule(key=st.sampled_from([b"a", b"b", b"c", b"d"]), how=st.sampled_from(["served", "failed", "refused"]),
           size=st.sampled_from([1, 70]))
     def end(self, key: bytes, how: str, size: int) -> None:
-        if ticket := self.live.pop(key, None):
+        if job := self.live.pop(key, None):
             if how == "served":
-                ticket.served(b"x" * size)
+                job.served(b"x" * size)
             elif how == "failed":
-                ticket.failed("")
+                job.failed("")
             else:
-                ticket.refused(timedelta(seconds=1))
+                job.refused(timedelta(seconds=1))
             if how != "refused":
-                self.ended.append((key, ticket, self.time.now(), size if how == "served" else 0))
+                self.ended.append((key, job, self.time.now(), size if how == "served" else 0))
             for client in self.waiting.pop(key):
                 assert client.got[Type.WORK_COMPLETE] + client.got[Type.WORK_FAIL] == 1
 
@@ -109,7 +109,7 @@
     def wait(self, seconds: int) -> None:
         self.time.run(timedelta(seconds=seconds))
 
-    def kept(self) -> list[tuple[bytes, Ticket, Any, int]]:
+    def kept(self) -> list[tuple[bytes, GearmanJob, Any, int]]:
         while self.ended and (
             len(self.ended) > self.limits.remembered or sum(e[3] for e in self.ended) > 100
             or self.time.now() - self.ended[0][2] > self.limits.remembered_for
