--- a/hazellead/__main__.py
+++ b/hazellead/__main__.py
@@ -89,9 +89,9 @@
         self.watch, self.gearman = None, None
         self.peers: PeerService | None = None
         if operators and operators.gearman:
-            from hazellead.gearman.assembly import GearmanFront
+            from hazellead.gearman.assembly import GearmanFrontend
 
-            self.gearman = GearmanFront(operators.gearman, self.scheduler, clock, self.takes_jobs)
+            self.gearman = GearmanFrontend(operators.gearman, self.scheduler, clock, self.takes_jobs)
             self.workers = self.gearman.http
         else:
             if given.discovery is None:
@@ -205,7 +205,7 @@
             if self.gearman and new.gearman and held.gearman:
                 kept += ["gearman.listen"] if new.gearman.listen != held.gearman.listen else []
                 # What functions are to the module rests on its settings: they change together or not at all.
-                kept += self.gearman.reload(new.gearman, same="settings" not in kept)
+                kept += self.gearman.reload(new.gearman, settings_unchanged="settings" not in kept)
             kept += commit() if commit else []
         if self.watch and given.discovery:
             self.watch.move(given.discovery)
--- a/hazellead/gearman/__init__.py
+++ b/hazellead/gearman/__init__.py
@@ -1,1 +1,1 @@
-"""The front for Gearman speakers: a translator from old clients and workers to the same core."""
+"""The frontend for clients and workers that speak the Gearman protocol; it uses the same scheduler core."""
--- a/hazellead/gearman/assembly.py
+++ b/hazellead/gearman/assembly.py
@@ -1,4 +1,4 @@
-"""Puts the Gearman front together round a scheduler."""
+"""Builds the Gearman frontend and connects it to a scheduler."""
 
 from collections.abc import Callable
 
@@ -17,71 +17,72 @@
 from hazellead.platform.workers import HttpWorkers
 
 
-class Transports:
-    """Sends each attempt the way its worker speaks."""
+class TransportByProtocol:
+    """A worker transport that passes each call to the transport of the worker's protocol, HTTP or Gearman."""
 
     def __init__(self, inventory: Inventory, http: HttpWorkers, gearman: GearmanWorkers) -> None:
-        """Choose by the inventory."""
+        """Look up each worker's protocol in the inventory."""
         self._inventory, self._http, self._gearman = inventory, http, gearman
 
-    def _to(self, worker: int) -> WorkerTransport:
+    def _transport_of(self, worker: int) -> WorkerTransport:
         return self._http if self._inventory.place(worker) else self._gearman
 
     def send(self, attempt: Attempt) -> None:
         """Start an attempt."""
-        self._to(attempt.worker).send(attempt)
+        self._transport_of(attempt.worker).send(attempt)
 
     def give_up(self, attempt: Attempt) -> None:
-        """Stop an attempt."""
-        self._to(attempt.worker).give_up(attempt)
+        """Stop an attempt that the scheduler has ended."""
+        self._transport_of(attempt.worker).give_up(attempt)
 
     def probe(self, worker: int, done: Callable[[Outcome], None]) -> None:
-        """Ask whether a worker lives."""
-        self._to(worker).probe(worker, done)
+        """Check whether a worker is reachable, and call ``done`` with the outcome."""
+        self._transport_of(worker).probe(worker, done)
 
     def release(self, worker: int) -> None:
-        """Close idle connections."""
-        self._to(worker).release(worker)
+        """Close the idle connections to a worker."""
+        self._transport_of(worker).release(worker)
 
 
-class GearmanFront:
-    """The second front, with its own directory of workers."""
+class GearmanFrontend:
+    """The Gearman frontend: its server, inventory and worker transports, beside the HTTP frontend."""
 
     def __init__(
-        self, given: GearmanConfig, scheduler: Scheduler, clock: Clock, takes_jobs: Callable[[], bool],
+        self, config: GearmanConfig, scheduler: Scheduler, clock: Clock, takes_jobs: Callable[[], bool],
     ) -> None:
-        """Read the inventory and connect the scheduler."""
-        limits = given.base.limits
+        """Read the inventory and connect the scheduler; raises ConfigError."""
+        limits = config.base.limits
         self.workers = GearmanWorkers(
-            lambda n: self.inventory.name(n), limits, self._present, IOLoop.current())
+            lambda n: self.inventory.name(n), limits, self._on_connected, IOLoop.current())
         self.inventory = Inventory(
-            given.inventory, given.base.names, limits, clock, scheduler.listed, self.workers.end_unsendable)
+            config.inventory, config.base.names, limits, clock, scheduler.listed, self.workers.end_unsendable)
         self.http = HttpWorkers(self.inventory, limits, clock)
-        scheduler.connect(Transports(self.inventory, self.http, self.workers), self.inventory)
+        scheduler.connect(TransportByProtocol(self.inventory, self.http, self.workers), self.inventory)
         self.submissions = Submissions(
-            scheduler, JobTable(given.base.name, limits, clock), given.functions, takes_jobs)
+            scheduler, JobTable(config.base.name, limits, clock), config.functions, takes_jobs)
         self.server = GearmanServer(limits, clock, self.submissions, self.workers)
 
-    def _present(self, name: str, there: bool) -> None:
-        # In a step of its own: the end of a connection is told before it changes the list.
-        IOLoop.current().add_callback(self.inventory.present, name, there)
+    def _on_connected(self, name: str, connected: bool) -> None:
+        # Deferred to the next loop iteration, so that the attempts of a closed connection end before the
+        # worker list changes.
+        IOLoop.current().add_callback(self.inventory.set_connected, name, connected)
 
-    def reload(self, given: GearmanConfig, *, same: bool) -> list[str]:
-        """Follow another inventory and other functions; ConfigError changes nothing.
+    def reload(self, config: GearmanConfig, *, settings_unchanged: bool) -> list[str]:
+        """Switch to another inventory file and other functions; ConfigError is raised before any change.
 
-        Return what has to wait for the next start: the functions, unless the settings are the ``same``.
+        Return the names of settings that need a restart: changed functions if the settings changed too.
         """
-        self.inventory.move(given.inventory)
-        if same:
-            self.submissions.functions = given.functions
+        self.inventory.switch_file(config.inventory)
+        if settings_unchanged:
+            self.submissions.functions = config.functions
             return []
-        return ["gearman.functions"] if given.functions != self.submissions.functions else []
+        return ["gearman.functions"] if config.functions != self.submissions.functions else []
 
     def end_idle(self) -> None:
-        """End the connections of clients that wait for nothing; workers' stay."""
+        """Close the connections of clients that wait for no job; workers' connections stay open."""
         self.server.end_idle()
 
     async def finish(self) -> None:
-        """End every connection."""
+        """Stop reading the inventory and close every connection."""
         self.inventory.close()
         await self.server.finish()
--- a/hazellead/gearman/config.py
+++ b/hazellead/gearman/config.py
@@ -1,4 +1,4 @@
-"""Reads the part of an operator's file that turns the Gearman front on."""
+"""Reads the [gearman] section of an operator's file, which turns the Gearman frontend on."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass, replace
@@ -15,7 +15,7 @@
 
 @dataclass(slots=True, frozen=True)
 class GearmanConfig:
-    """What the operator sets."""
+    """The [gearman] section: address, inventory file and functions; ``base`` is the rest of the file."""
 
     base: Config
     listen: tuple[str, int]
@@ -23,42 +23,44 @@
     functions: dict[str, Function]
 
 
-def read(given: dict[str, Any], path: Path, environment: Mapping[str, str]) -> GearmanConfig:
-    """Read what a file holds; paths in it are relative to it."""
-    own = given.get("gearman")
-    if not isinstance(own, dict) or set(own) != {"listen", "inventory", "functions"}:
-        raise ConfigError(f"{path}: [gearman] holds listen, inventory and functions")
-    base = assemble(given, str(path), environment, gearman=True)
-    functions = own["functions"]
+def read(file: dict[str, Any], path: Path, environment: Mapping[str, str]) -> GearmanConfig:
+    """Read the parsed file, with paths relative to that of the file; raises ConfigError."""
+    section = file.get("gearman")
+    if not isinstance(section, dict) or set(section) != {"listen", "inventory", "functions"}:
+        raise ConfigError(f"{path}: [gearman] must have exactly the keys listen, inventory and functions")
+    base = assemble(file, str(path), environment, gearman=True)
+    functions = section["functions"]
     if not isinstance(functions, dict) or not functions:
         raise ConfigError(f"{path}: [gearman.functions] is empty")
     served = {name: _function(f"{path}: function {name}", name, row, base) for name, row in functions.items()}
     classes = list(base.settings.classes)
     for name, function in served.items():
-        kind = replace(classes[function.job_class], deadline_us=to_us(function.deadline))
-        if kind != classes[function.job_class]:
-            # To the module, less time than others of the class had marks a client's later try, which it
-            # refuses as too late. A function with a deadline of its own is therefore a class of its own.
+        changed_class = replace(classes[function.job_class], deadline_us=to_us(function.deadline))
+        if changed_class != classes[function.job_class]:
+            # The decision module takes a request with less time than others of its class had for a client's
+            # later retry, and refuses it as too late. A function with its own deadline therefore gets its
+            # own job class.
             served[name] = replace(function, job_class=len(classes))
-            classes.append(kind)
+            classes.append(changed_class)
     base = replace(base, settings=replace(base.settings, classes=tuple(classes)))
-    inventory = path.parent / str(own["inventory"])
-    return GearmanConfig(base, address(own["listen"], "gearman.listen"), inventory, served)
+    inventory = path.parent / str(section["inventory"])
+    return GearmanConfig(base, address(section["listen"], "gearman.listen"), inventory, served)
 
 
-def _function(what: str, name: str, row: Any, base: Config) -> Function:
+def _function(where: str, name: str, row: Any, base: Config) -> Function:
     if not isinstance(row, dict) or not set(row) <= {"class", "tenant", "deadline_ms"}:
-        raise ConfigError(f"{what}: has class, tenant and deadline_ms")
+        raise ConfigError(f"{where}: must be a table with no other keys than class, tenant and deadline_ms")
     job_class = place(base.names.classes, str(row.get("class", "")))
     if job_class < 0:
-        raise ConfigError(f"{what}: class is missing or unknown")
+        raise ConfigError(f"{where}: class is missing or unknown")
     tenant = place(base.names.tenants, str(row.get("tenant", ""))) if base.names.tenants else 0
     if tenant < 0:
-        raise ConfigError(f"{what}: tenant is missing or unknown")
-    most = span(base.settings.classes[job_class].deadline_us)
-    given = row.get("deadline_ms", most // _MS)
-    if not isinstance(given, int) or not timedelta(0) < given * _MS <= most:
-        raise ConfigError(f"{what}: deadline_ms is above 0 and not above its class's {most // _MS}")
+        raise ConfigError(f"{where}: tenant is missing or unknown")
+    class_deadline = span(base.settings.classes[job_class].deadline_us)
+    deadline_ms = row.get("deadline_ms", class_deadline // _MS)
+    if not isinstance(deadline_ms, int) or not timedelta(0) < deadline_ms * _MS <= class_deadline:
+        raise ConfigError(
+            f"{where}: deadline_ms must be above 0 and at most its class's {class_deadline // _MS}")
     if not name.isascii() or not name.isprintable() or " " in name:
-        raise ConfigError(f"{what}: the name has blanks or odd characters")
-    return Function(name, job_class, base.names.classes[job_class], tenant, given * _MS)
+        raise ConfigError(f"{where}: the name must be printable ASCII without blanks")
+    return Function(name, job_class, base.names.classes[job_class], tenant, deadline_ms * _MS)
--- a/hazellead/gearman/inventory.py
+++ b/hazellead/gearman/inventory.py
@@ -1,7 +1,7 @@
-"""The workers as a configuration tool keeps them: a CSV table, or YAML as Ansible has it.
+"""The worker inventory: a CSV file, or a YAML file in the form of an Ansible inventory.
 
-CSV: a header line with the columns of ``FIELDS``. YAML: groups with ``hosts``, ``vars`` and ``children``; the
-same names are host variables, a group's variables hold for its hosts, and the nearest to the host wins.
+CSV: a header line with columns out of ``FIELDS``. YAML: groups with ``hosts``, ``vars`` and ``children``;
+``FIELDS`` are host variables. A group's variables apply to its hosts; the value set nearest to the host wins.
 """
 
 import csv
@@ -30,19 +30,19 @@
 
 @dataclass(slots=True, frozen=True)
 class Host:
-    """One worker of the inventory."""
+    """One worker of the inventory; the worker number in ``entry`` is not set yet."""
 
     name: str
     protocol: str
     entry: api.WorkerEntry
-    where: Place | None  # for those that speak HTTP
+    endpoint: Place | None  # None unless the protocol is HTTP
 
 
-Row = tuple[int, dict[str, str]]  # the line it stands on, and its fields
+Row = tuple[int, dict[str, str]]  # line number and fields
 
 
 def read(path: Path, names: Names, limits: Limits) -> list[Host]:
-    """Read an inventory; ConfigError names file and line of what is wrong."""
+    """Read an inventory; raises ConfigError with the file and line of the error."""
     try:
         data = path.read_bytes()
     except OSError as error:
@@ -60,7 +60,7 @@
         for line, row in rows(text, limits):
             host = _host(line, row, names)
             if host.name in hosts:
-                raise _LineError(line, f"{host.name} stands here twice")
+                raise _LineError(line, f"{host.name} is listed twice")
             hosts[host.name] = host
     except _LineError as error:
         raise ConfigError(f"{path}:{error.line}: {error}") from None
@@ -68,8 +68,8 @@
 
 
 class _LineError(Exception):
-    def __init__(self, line: int, why: str) -> None:
-        super().__init__(why)
+    def __init__(self, line: int, message: str) -> None:
+        super().__init__(message)
         self.line = line
 
 
@@ -85,7 +85,8 @@
                 columns = cells
                 known = set(columns) <= set(FIELDS) and len(set(columns)) == len(columns)
                 if "name" not in columns or not known:
-                    raise _LineError(reader.line_num, f"the header names columns out of {', '.join(FIELDS)}")
+                    raise _LineError(
+                        reader.line_num, f"the header must have name, and only {', '.join(FIELDS)}")
             elif len(cells) != len(columns):
                 raise _LineError(reader.line_num, f"{len(cells)} cells for {len(columns)} columns")
             else:
@@ -104,45 +105,46 @@
         raise _LineError(mark.line + 1 if mark else 1, error.problem or "not YAML") from None
     except (yaml.YAMLError, RecursionError) as error:
         raise _LineError(1, str(error).partition("\n")[0]) from None
-    found: dict[str, Row] = {}
+    rows: dict[str, Row] = {}
     for _, group in _items(root):
-        _group(group, {}, found, limits.group_depth)
-    yield from found.values()
+        _add_group(group, {}, rows, limits.group_depth)
+    yield from rows.values()
 
 
-def _group(group: Node, given: dict[str, str], found: dict[str, Row], depth: int) -> None:
+def _add_group(group: Node, inherited: dict[str, str], rows: dict[str, Row], depth: int) -> None:
     if depth < 0:
-        raise _LineError(_line(group), "groups too deep")
-    parts = {key: node for (key, _), node in _items(group)}
-    if odd := set(parts) - {"hosts", "vars", "children"}:
-        raise _LineError(_line(group), f"a group has hosts, vars and children, not {sorted(odd)[0]}")
-    inner = given | (_fields(parts["vars"]) if "vars" in parts else {})
-    for (name, line), node in _items(parts["hosts"]) if "hosts" in parts else ():
-        # A host may stand in several groups, and its fields come together.
-        earlier = found[name][1] if name in found else {}
-        found[name] = line, {**earlier, **inner, **_fields(node), "name": name}
-    for _, child in _items(parts["children"]) if "children" in parts else ():
-        _group(child, inner, found, depth - 1)
-
-
-def _fields(node: Node) -> dict[str, str]:  # variables meant for others are passed over
-    plain = {key: value for (key, _), value in _items(node) if key in FIELDS[1:]}
-    for key, value in plain.items():
+        raise _LineError(_line_of(group), "groups are nested too deeply")
+    sections = {key: node for (key, _), node in _items(group)}
+    if unknown := set(sections) - {"hosts", "vars", "children"}:
+        raise _LineError(
+            _line_of(group), f"a group may have hosts, vars and children, not {sorted(unknown)[0]}")
+    variables = inherited | (_fields(sections["vars"]) if "vars" in sections else {})
+    for (name, line), node in _items(sections["hosts"]) if "hosts" in sections else ():
+        # A host may be in several groups; its fields are merged.
+        known_fields = rows[name][1] if name in rows else {}
+        rows[name] = line, {**known_fields, **variables, **_fields(node), "name": name}
+    for _, child in _items(sections["children"]) if "children" in sections else ():
+        _add_group(child, variables, rows, depth - 1)
+
+
+def _fields(node: Node) -> dict[str, str]:  # variables other than FIELDS are ignored
+    values = {key: value for (key, _), value in _items(node) if key in FIELDS[1:]}
+    for key, value in values.items():
         if not isinstance(value, ScalarNode):
-            raise _LineError(_line(value), f"{key} is a plain value")
-    return {key: "" if value.tag.endswith(":null") else str(value.value) for key, value in plain.items()}
+            raise _LineError(_line_of(value), f"{key} must be a plain value")
+    return {key: "" if value.tag.endswith(":null") else str(value.value) for key, value in values.items()}
 
 
 def _items(node: Node | None) -> Iterator[tuple[tuple[str, int], Node]]:
     if node is None or isinstance(node, ScalarNode) and node.tag.endswith(":null"):
         return
     if not isinstance(node, MappingNode):
-        raise _LineError(_line(node), "names with values are wanted here")
+        raise _LineError(_line_of(node), "a mapping is expected here")
     for key, value in node.value:
-        yield (str(key.value), _line(key)), value
+        yield (str(key.value), _line_of(key)), value
 
 
-def _line(node: Node) -> int:
+def _line_of(node: Node) -> int:
     return int(node.start_mark.line) + 1
 
 
@@ -151,22 +153,22 @@
     if not name or not name.isprintable() or " " in name:
         raise _LineError(line, "name is missing or has blanks")
     if protocol not in ("gearman", "http"):
-        raise _LineError(line, f"protocol is gearman or http, not {protocol}")
+        raise _LineError(line, f"protocol must be gearman or http, not {protocol}")
     if state not in _STATES:
-        raise _LineError(line, f"state is up, draining or down, not {state}")
+        raise _LineError(line, f"state must be up, draining or down, not {state}")
     numbers = []
-    for what, known in (("zone", names.zones), ("model", names.kinds)):
-        given = row.get(what, "")
-        numbers.append(place(known, given) if given else 0)
+    for column, known in (("zone", names.zones), ("model", names.kinds)):
+        value = row.get(column, "")
+        numbers.append(place(known, value) if value else 0)
         if numbers[-1] < 0:
-            raise _LineError(line, f"{what} {given} is not in the settings")
-    where = None
+            raise _LineError(line, f"{column} {value} is not in the settings")
+    endpoint = None
     if protocol == "http":
         try:
-            where = Place(name, *address(row.get("address", ""), "address"))
+            endpoint = Place(name, *address(row.get("address", ""), "address"))
         except ConfigError as error:
             raise _LineError(line, str(error)) from None
-    return Host(name, protocol, api.WorkerEntry(0, numbers[0], numbers[1], 0, _STATES[state]), where)
+    return Host(name, protocol, api.WorkerEntry(0, numbers[0], numbers[1], 0, _STATES[state]), endpoint)
 
 
 def _signature(path: Path) -> tuple[int, int, int] | None:
@@ -178,101 +180,107 @@
 
 
 class Inventory:
-    """The worker directory of the Gearman front. One that speaks Gearman counts as there once it connects."""
+    """The worker directory of the Gearman frontend; it publishes the worker list whenever it changes.
+
+    A Gearman worker whose state is up is published as GONE while it is not connected.
+    """
 
     def __init__(
         self, path: Path, names: Names, limits: Limits, clock: Clock,
-        listener: Callable[[api.WorkerList], None], changed: Callable[[], None],
+        listener: Callable[[api.WorkerList], None], on_change: Callable[[], None],
     ) -> None:
-        """Read the file, tell the listener, and call ``changed`` after each later word."""
+        """Read the file and pass ``listener`` the list; raises ConfigError.
+
+        From then on the file is polled. Each later list goes to ``listener``, followed by ``on_change``.
+        """
         self._path, self._names, self._limits, self._clock = path, names, limits, clock
-        self._listener, self._changed = listener, changed
-        self._begun = clock.now()
+        self._listener, self._on_change = listener, on_change
+        self._started = clock.now()
         self._numbers: dict[str, int] = {}
         self._hosts: dict[int, Host] = {}
-        self._connected: dict[str, datetime] = {}  # since when
-        self._seen = self._read = _signature(path)
-        self._keep(read(path, names, limits))
+        self._connected: dict[str, datetime] = {}  # by worker name, when it connected
+        self._last_signature = self._read_signature = _signature(path)
+        self._merge(read(path, names, limits))
         self._listener(api.WorkerList(api.ListKind.CACHED, self._entries()))
-        self._poller = PeriodicCallback(self.look, limits.poll)
+        self._poller = PeriodicCallback(self.poll, limits.poll)
         self._poller.start()
 
     def place(self, worker: int) -> Place | None:
-        """Return where a worker listens, if it speaks HTTP."""
-        return self._hosts[worker].where if worker in self._hosts else None
+        """Return the address of an HTTP worker; None for other and unknown workers."""
+        return self._hosts[worker].endpoint if worker in self._hosts else None
 
     def name(self, worker: int) -> str:
-        """Return a worker's name."""
+        """Return a worker's name; empty if it is unknown."""
         return self._hosts[worker].name if worker in self._hosts else ""
 
-    def knows(self, name: str) -> bool:
-        """Say whether a Gearman worker of this name stands in the file."""
+    def has_gearman_worker(self, name: str) -> bool:
+        """Return whether the file lists, or has listed, a Gearman worker of this name."""
         return any(h.name == name and h.protocol == "gearman" for h in self._hosts.values())
 
     def list_expired(self) -> bool:
-        """Return False: the file is read ten times a second, and its last word holds while it cannot be."""
+        """Return False: the file is polled ten times a second, and the last list stays valid on errors."""
         return False
 
     def subscribe(self) -> None:
-        """Tell the list as it is; changes are told anyway."""
-        self._tell()
+        """Publish the current list; changes are published in any case."""
+        self._publish()
 
     def fetch(self) -> None:
-        """Tell the list as it is."""
-        self._tell()
+        """Publish the current list."""
+        self._publish()
 
-    def present(self, name: str, there: bool) -> None:
-        """Note that a Gearman worker has connected, or that its last connection has ended."""
-        if there:
+    def set_connected(self, name: str, connected: bool) -> None:
+        """Record that a Gearman worker has connected, or that its last connection has closed."""
+        if connected:
             self._connected[name] = self._clock.now()
-            if not self.knows(name):
+            if not self.has_gearman_worker(name):
                 log.warning("gearman_worker_unknown", worker=name)
         else:
             self._connected.pop(name, None)
-        self._tell()
+        self._publish()
 
-    def look(self) -> None:
-        """Read the file again once a change to it has stood for a whole poll.
+    def poll(self) -> None:
+        """Read the file again once it has changed and then stayed the same for a whole poll interval.
 
-        Guards against taking a half-written file for a fleet that has shrunk. Two polls are well under what
-        a drain may take.
+        A half-written file would otherwise be read as a fleet that has shrunk. Two polls take much less time
+        than a drain may.
         """
-        before, self._seen = self._seen, _signature(self._path)
-        if self._seen == self._read or self._seen != before:
+        previous, self._last_signature = self._last_signature, _signature(self._path)
+        if self._last_signature == self._read_signature or self._last_signature != previous:
             return
-        self._read = self._seen
+        self._read_signature = self._last_signature
         try:
             hosts = read(self._path, self._names, self._limits)
         except ConfigError as error:
             log.error("inventory_kept", reason=str(error))
             return
-        self._take(hosts)
+        self._apply(hosts)
 
-    def _take(self, hosts: list[Host]) -> None:
-        self._keep(hosts)
+    def _apply(self, hosts: list[Host]) -> None:
+        self._merge(hosts)
         log.info("inventory_read", workers=len(hosts))
-        self._tell()
+        self._publish()
 
-    def move(self, path: Path) -> None:
-        """Follow another file from now on; ConfigError, with no change, if it cannot be used."""
+    def switch_file(self, path: Path) -> None:
+        """Switch to another file; if it cannot be used, ConfigError is raised and nothing changes."""
         if path == self._path:
             return
-        seen = _signature(path)
+        signature = _signature(path)
         hosts = read(path, self._names, self._limits)
-        self._path, self._seen, self._read = path, seen, seen
-        self._take(hosts)
+        self._path, self._last_signature, self._read_signature = path, signature, signature
+        self._apply(hosts)
 
     def close(self) -> None:
-        """Stop looking."""
+        """Stop polling the file."""
         self._poller.stop()
 
-    def _keep(self, hosts: list[Host]) -> None:
+    def _merge(self, hosts: list[Host]) -> None:
         for host in hosts:
             self._numbers.setdefault(host.name, len(self._numbers) + 1)
-        now = {self._numbers[h.name]: h for h in hosts}
-        # Those taken out stay known by name, as gone, for what is still out with them.
+        listed = {self._numbers[h.name]: h for h in hosts}
+        # Removed workers stay known as GONE, since attempts on them may still be unfinished.
         gone = {n: replace(h, entry=replace(h.entry, phase=api.Phase.GONE)) for n, h in self._hosts.items()}
-        self._hosts = gone | now
+        self._hosts = gone | listed
 
     def _entries(self) -> tuple[api.WorkerEntry, ...]:
         return tuple(replace(self._entry(host), worker=number) for number, host in self._hosts.items())
@@ -283,10 +291,11 @@
         since = self._connected.get(host.name)
         if since is None:
             return replace(host.entry, phase=api.Phase.GONE)
-        # One that comes when we have long been here has just started: it is cold, and gets less at first.
-        cold = since - self._begun > self._limits.settle
+        # A worker that connects long after this process started has itself just started: it is cold, and
+        # gets fewer jobs at first.
+        cold = since - self._started > self._limits.settle
         return replace(host.entry, started_us=to_us(since - EPOCH) if cold else 0)
 
-    def _tell(self) -> None:
+    def _publish(self) -> None:
         self._listener(api.WorkerList(api.ListKind.FULL, self._entries()))
-        self._changed()
+        self._on_change()
--- a/hazellead/gearman/packets.py
+++ b/hazellead/gearman/packets.py
@@ -1,4 +1,4 @@
-"""The Gearman protocol's packets and admin lines: cut from a connection's bytes, and written."""
+"""Encodes Gearman packets, and parses packets and admin lines out of a connection's bytes."""
 
 import struct
 from dataclasses import dataclass
@@ -11,7 +11,7 @@
 
 
 class Type(IntEnum):
-    """The packets' numbers, as the public protocol has them."""
+    """The packet types, with their numbers in the public protocol."""
 
     CAN_DO = 1
     CANT_DO = 2
@@ -56,7 +56,7 @@
     STATUS_RES_UNIQUE = 42
 
 
-# How many arguments a packet has; the last one runs to the packet's end.
+# The number of arguments of each packet type; the last argument runs to the packet's end.
 ARGUMENTS = {
     Type.CAN_DO: 1, Type.CANT_DO: 1, Type.RESET_ABILITIES: 0, Type.PRE_SLEEP: 0, Type.NOOP: 0,
     Type.SUBMIT_JOB: 3, Type.JOB_CREATED: 1, Type.GRAB_JOB: 0, Type.NO_JOB: 0, Type.JOB_ASSIGN: 3,
@@ -70,12 +70,12 @@
 
 
 class PacketError(Exception):
-    """The bytes are not to be followed any further; the connection ends after an ERROR packet."""
+    """The bytes received are malformed or too long; the connection is closed after an ERROR packet."""
 
 
 @dataclass(slots=True, frozen=True)
 class Packet:
-    """One packet; its type is a plain number where the protocol has no such type."""
+    """One packet; its type is an int that need not be a known ``Type``."""
 
     type: int
     args: tuple[bytes, ...]
@@ -83,34 +83,38 @@
 
 
 class Parser:
-    """Cuts a connection's bytes into packets and admin lines (``str``). Holds one of them and one read."""
+    """Splits a connection's bytes into packets and admin lines (``str``).
+
+    Its buffer is bounded by the largest packet or line plus one read, if ``next`` is called until it returns
+    None before more bytes are fed.
+    """
 
     def __init__(self, limits: Limits) -> None:
-        """Start between packets."""
-        self._most, self._line_most = limits.body + limits.head, limits.admin_line
+        """Start with an empty buffer."""
+        self._max_packet, self._max_line = limits.body + limits.head, limits.admin_line
         self._buffer = bytearray()
 
     @property
     def empty(self) -> bool:
-        """Say whether no part of a packet has come."""
+        """Whether no byte of an incomplete packet or line is buffered."""
         return not self._buffer
 
     def feed(self, data: bytes) -> None:
-        """Add what was read."""
+        """Add bytes read from the connection."""
         self._buffer += data
 
     def next(self) -> Packet | str | None:
-        """Return the next packet or admin line, if one has come whole."""
+        """Return the next packet or admin line, or None if it is incomplete; raises PacketError."""
         if not self._buffer:
             return None
         if self._buffer[0] != 0:
-            return self._line()
+            return self._next_line()
         if not (_REQ.startswith(self._buffer[:4]) or _RES.startswith(self._buffer[:4])):
             raise PacketError("bad magic")
         if len(self._buffer) < _HEADER.size:
             return None
         magic, number, size = _HEADER.unpack_from(self._buffer)
-        if size > self._most:
+        if size > self._max_packet:
             raise PacketError("packet too large")
         if len(self._buffer) < _HEADER.size + size:
             return None
@@ -122,9 +126,9 @@
             raise PacketError("wrong number of arguments")
         return Packet(number, args, magic == _RES)
 
-    def _line(self) -> str | None:
+    def _next_line(self) -> str | None:
         end = self._buffer.find(b"\n")
-        if max(end, len(self._buffer) if end < 0 else 0) > self._line_most:
+        if max(end, len(self._buffer) if end < 0 else 0) > self._max_line:
             raise PacketError("line too long")
         if end < 0:
             return None
@@ -133,7 +137,7 @@
         return line
 
 
-def write(number: Type, *args: bytes, response: bool = True) -> bytes:
-    """Write a packet, from the server's side unless told otherwise."""
+def encode_packet(number: Type, *args: bytes, response: bool = True) -> bytes:
+    """Return a packet's bytes: a response, as a server sends it, or else a request."""
     data = b"\0".join(args)
     return _HEADER.pack(_RES if response else _REQ, number, len(data)) + data
--- a/hazellead/gearman/server.py
+++ b/hazellead/gearman/server.py
@@ -11,7 +11,7 @@
 from hazellead.core.clock import Clock
 from hazellead.gearman import clients, workers
 from hazellead.gearman.clients import ClientSession, Submissions
-from hazellead.gearman.packets import Packet, PacketError, Parser, Type, write
+from hazellead.gearman.packets import Packet, PacketError, Parser, Type, encode_packet
 from hazellead.gearman.workers import GearmanWorkers, WorkerSession
 from hazellead.limits import Limits
 from hazellead.net.accept import Listener
@@ -37,7 +37,7 @@
 
     def send(self, number: Type, *args: bytes) -> bool:
         """Write a packet; return False if the connection was closed, so that no byte of it was written."""
-        return self._write(write(number, *args))
+        return self._write(encode_packet(number, *args))
 
     def _write(self, data: bytes) -> bool:
         try:
--- a/hazellead/lab/sockets.py
+++ b/hazellead/lab/sockets.py
@@ -16,7 +16,7 @@
 from tornado.iostream import IOStream, StreamClosedError
 
 from hazellead.core.clock import Clock
-from hazellead.gearman.packets import Packet, Parser, Type, write
+from hazellead.gearman.packets import Packet, Parser, Type, encode_packet
 from hazellead.lab.checker import RuleChecker
 from hazellead.lab.fleet import WorkerSpec
 from hazellead.lab.time import Timer
@@ -244,7 +244,7 @@
 
     def send(self, kind: Type, *args: bytes) -> None:
         with suppress(StreamClosedError):
-            self._stream.write(write(kind, *args, response=False)).add_done_callback(
+            self._stream.write(encode_packet(kind, *args, response=False)).add_done_callback(
                 lambda f: f.cancelled() or f.exception())
 
     def free(self) -> None:
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -14,7 +14,7 @@
 from hypothesis import settings
 
 from hazellead.__main__ import Program
-from hazellead.gearman.packets import Packet, Parser, Type, write
+from hazellead.gearman.packets import Packet, Parser, Type, encode_packet
 from hazellead.limits import Limits
 from hazellead.operators import load
 
@@ -133,7 +133,7 @@
         return cls(*await asyncio.open_connection("127.0.0.1", port))
 
     def send(self, kind: Type, *args: bytes) -> None:
-        self.writer.write(write(kind, *args, response=False))
+        self.writer.write(encode_packet(kind, *args, response=False))
 
     async def packet(self) -> Packet:
         while (item := self.parser.next()) is None:
--- a/tests/test_gearman_front.py
+++ b/tests/test_gearman_front.py
@@ -20,7 +20,7 @@
     workers,
 )
 
-from hazellead.gearman.packets import Type, write
+from hazellead.gearman.packets import Type, encode_packet
 from hazellead.operators import load
 from hazellead.platform.config import ConfigError
 
@@ -195,7 +195,7 @@
 
 
 async def cut(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
-    peer.writer.write(write(Type.WORK_COMPLETE, handle, b"posted " + workload, response=False)[:-3])
+    peer.writer.write(encode_packet(Type.WORK_COMPLETE, handle, b"posted " + workload, response=False)[:-3])
     peer.close()
 
 
--- a/tests/test_gearman_parts.py
+++ b/tests/test_gearman_parts.py
@@ -17,7 +17,7 @@
 from hazellead.decide.interface import Outcome, Phase
 from hazellead.gearman import inventory, workers
 from hazellead.gearman.jobs import GearmanJob, JobTable
-from hazellead.gearman.packets import ARGUMENTS, Packet, PacketError, Parser, Type, write
+from hazellead.gearman.packets import ARGUMENTS, Packet, PacketError, Parser, Type, encode_packet
 from hazellead.lab.time import VirtualTime
 from hazellead.limits import Limits
 from hazellead.operators import load
@@ -31,7 +31,7 @@
 @STEADY
 @given(st.lists(PACKETS | st.sampled_from(["status", "version"]), max_size=8), st.integers(1, 30))
 def test_packets_and_lines_come_out_as_they_were_written(items: list[Any], piece: int) -> None:
-    line = b"".join(f"{i}\r\n".encode() if isinstance(i, str) else write(i[0], *i[1], response=i[2])
+    line = b"".join(f"{i}\r\n".encode() if isinstance(i, str) else encode_packet(i[0], *i[1], response=i[2])
                     for i in items)
     parser, got = Parser(Limits()), []
     for at in range(0, len(line), piece):
@@ -281,7 +281,7 @@
 def test_both_forms_of_the_sample_inventory_say_the_same() -> None:
     csv, yml = (inventory.read(ROOT / f"deploy/inventory.{form}", NAMES, Limits()) for form in ("csv", "yml"))
     assert csv == yml and [h.name for h in csv] == ["post-1", "post-2", "post-3"]
-    assert [h.entry.kind for h in csv] == [0, 1, 2] and csv[2].where and csv[2].where.port == 9003
+    assert [h.entry.kind for h in csv] == [0, 1, 2] and csv[2].endpoint and csv[2].endpoint.port == 9003
 
 
 @pytest.mark.parametrize(("form", "text", "line"), [
@@ -309,28 +309,28 @@
             return [e.phase for e in told[-1].entries]
 
         assert phases() == [Phase.GONE, Phase.GONE]  # none of them has connected
-        kept.present("a", True)
-        kept.present("b", True)
+        kept.set_connected("a", True)
+        kept.set_connected("b", True)
         assert phases() == [Phase.READY, Phase.READY] and told[-1].entries[0].started_us == 0
         path.write_text("name,state\na,up\n")
-        kept.look()  # seen to have changed, not yet trusted
+        kept.poll()  # seen to have changed, not yet trusted
         path.write_text("name,state\na,up\nb,draining\n")
-        kept.look()
+        kept.poll()
         assert phases() == [Phase.READY, Phase.READY]
-        kept.look()
+        kept.poll()
         assert phases() == [Phase.READY, Phase.DRAINING]
         for broken in ("name,state\na,odd\n", None):
             path.unlink() if broken is None else path.write_text(broken)
-            kept.look()
-            kept.look()
+            kept.poll()
+            kept.poll()
             assert phases() == [Phase.READY, Phase.DRAINING]
         path.write_text("name,state\nb,up\n")
-        kept.look()
-        kept.look()
+        kept.poll()
+        kept.poll()
         assert phases() == [Phase.GONE, Phase.READY]
         time.run(timedelta(minutes=1))
-        kept.present("b", False)
-        kept.present("b", True)
+        kept.set_connected("b", False)
+        kept.set_connected("b", True)
         assert told[-1].entries[1].started_us == time.now_us()  # it has just started: cold
         kept.close()
 
@@ -340,7 +340,7 @@
 @pytest.mark.parametrize(("old", "new", "words"), [
     ('class = "post-payment"\ntenant = "poh', 'class = "odd"\ntenant = "poh', "class is missing or unknown"),
     ('tenant = "pohja-vesi"', 'tenant = "odd"', "tenant is missing or unknown"),
-    ("inventory =", "in =", "holds"),
+    ("inventory =", "in =", "must have exactly the keys listen, inventory and functions"),
     ("deadline_ms = 5000", "deadline_ms = 5001", "deadline_ms"), ("[gearman]", "[gearman", "line"),
     ('"127.0.0.1:4730"', '"x"', "gearman.listen is no address")])
 def test_a_bad_operators_file_is_a_plain_error(tmp_path: Path, old: str, new: str, words: str) -> None:
