--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback sockets, and a program among them; shared by the tests of the real scheduler."""
+"""Helpers for tests of the real scheduler: fake clients and workers on loopback sockets, and free ports."""
 
 import asyncio
 import json
@@ -19,12 +19,12 @@
 from hazellead.operators import load
 
 ROOT = Path(__file__).parents[1]
-STEADY = settings(max_examples=50, stateful_step_count=30)
+STEADY = settings(max_examples=50, stateful_step_count=30)  # Hypothesis settings of property tests
 T = TypeVar("T")
 
 
 def run(work: Coroutine[Any, Any, T]) -> T:
-    """Run a test's coroutine, and fail rather than hang."""
+    """Run a test's coroutine; raises TimeoutError if it takes more than 30 s."""
     async def bounded() -> T:
         return await asyncio.wait_for(work, 30)
 
@@ -35,32 +35,32 @@
 
 
 def free_port() -> int:
-    """Return a port where nothing listens and that the system gives to no one else meanwhile.
+    """Return a port where nothing listens, reserved against use by others.
 
-    Guards against another listener that takes any port, a stand-in or a test of another run, being given this
-    one before the test's own server listens there. The port stays bound; servers set SO_REUSEADDR, as this
-    does, and may listen there all the same.
+    The port stays bound: otherwise the system could give it to another listener on any free port, such as a
+    fake server or a test of another run, before the test's own server listens on it. That server can
+    listen there all the same, as servers set SO_REUSEADDR, as this function does.
     """
     sock = socket.socket()
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     sock.bind(("127.0.0.1", 0))
     _reserved.append(sock)
-    if len(_reserved) > 64:  # more than one test asks for
+    if len(_reserved) > 64:  # more than a single test needs
         _reserved.popleft().close()
     port: int = sock.getsockname()[1]
     return port
 
 
-async def until(true: Callable[[], object]) -> None:
-    """Wait for something to become so; the test's own time limit ends it otherwise."""
-    pause = 0.0002  # most things become so at once
-    while not true():
+async def until(condition: Callable[[], object]) -> None:
+    """Poll until the condition holds; has no time limit of its own besides that of ``run``."""
+    pause = 0.0002  # short, since most conditions hold almost at once
+    while not condition():
         await asyncio.sleep(pause)
         pause = min(2 * pause, 0.005)
 
 
 class Answers:
-    """A client's reply that notes what it is told."""
+    """A client's reply that records the final answers it is sent."""
 
     def __init__(self) -> None:
         self.final: list[str] = []
@@ -84,11 +84,11 @@
         pass
 
 
-class Running:
-    """A scheduler with the Gearman front, set up by the operator's sample file."""
+class RunningProgram:
+    """A scheduler with the Gearman frontend, configured by deploy/gearman.toml with free ports."""
 
     def __init__(self, folder: Path, inventory: str, deadline: int = 5000, **limits: Any) -> None:
-        self.inventory, operators = folder / "inventory.csv", folder / "gearman.toml"
+        self.inventory, settings_file = folder / "inventory.csv", folder / "gearman.toml"
         self.inventory.write_text("name,address,protocol,zone,model,state\n" + inventory)
         self.http, self.port = free_port(), free_port()
         text = 'seed = "8c1f"\n' + (ROOT / "deploy/gearman.toml").read_text()
@@ -96,8 +96,8 @@
                          ("127.0.0.1:4730", f"127.0.0.1:{self.port}"),
                          ("deadline_ms = 5000", f"deadline_ms = {deadline}")):
             text = text.replace(old, new)
-        operators.write_text(text)
-        given = load(operators, {})
+        settings_file.write_text(text)
+        given = load(settings_file, {})
         assert given.gearman
         base = replace(given.base, limits=replace(given.base.limits, **limits))
         given = replace(given, base=base, gearman=replace(given.gearman, base=base))
@@ -110,9 +110,9 @@
 @asynccontextmanager
 async def scheduler(
     folder: Path, inventory: str, deadline: int = 5000, **limits: Any,
-) -> AsyncIterator[Running]:
-    """Run a program with the Gearman front."""
-    running = Running(folder, inventory, deadline, **limits)
+) -> AsyncIterator[RunningProgram]:
+    """Run a program with the Gearman frontend, and stop it at the end."""
+    running = RunningProgram(folder, inventory, deadline, **limits)
     try:
         yield running
     finally:
@@ -123,7 +123,7 @@
 
 
 class GearmanPeer:
-    """One end of a Gearman connection."""
+    """The client or worker side of a Gearman connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer, self.parser = reader, writer, Parser(Limits())
@@ -145,13 +145,13 @@
         return item
 
     async def expect(self, *kinds: Type) -> Packet:
-        """Read on until one of these comes."""
+        """Read packets until one of these types arrives, and return it."""
         while (packet := await self.packet()).type not in kinds:
             pass
         return packet
 
     async def lines(self, command: str) -> list[str]:
-        """Send an admin command whose answer ends with a dot."""
+        """Send an admin command and return the lines of its answer, up to the final dot."""
         self.writer.write(command.encode() + b"\n")
         got = []
         while (line := (await self.reader.readline()).decode().strip()) != ".":
@@ -162,7 +162,7 @@
         self.writer.close()
 
 
-Act = Callable[[GearmanPeer, bytes, bytes], Awaitable[None]]
+JobBehavior = Callable[[GearmanPeer, bytes, bytes], Awaitable[None]]
 
 
 async def complete(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
@@ -170,11 +170,14 @@
 
 
 class GearmanWorker:
-    """A stand-in posting worker: counts what it is given, then acts on it."""
+    """A fake Gearman worker: counts each job's workload in ``postings``, then runs its behavior.
 
-    def __init__(self, name: str, postings: Counter[bytes], act: Act = complete) -> None:
-        self.name, self.postings, self.act, self.awake = name, postings, act, asyncio.Event()
-        self.awake.set()
+    While ``may_grab`` is cleared, it does not grab a job after it is woken.
+    """
+
+    def __init__(self, name: str, postings: Counter[bytes], behavior: JobBehavior = complete) -> None:
+        self.name, self.postings, self.behavior, self.may_grab = name, postings, behavior, asyncio.Event()
+        self.may_grab.set()
 
     async def serve(self, port: int, function: bytes = b"post_payment") -> None:
         peer = self.peer = await GearmanPeer.connect(port)
@@ -187,26 +190,26 @@
                 if packet.type == Type.NO_JOB:
                     peer.send(Type.PRE_SLEEP)
                     await peer.expect(Type.NOOP)
-                    await self.awake.wait()
+                    await self.may_grab.wait()
                     continue
                 handle, _, _, workload = packet.args
                 self.postings[workload] += 1
-                await self.act(peer, handle, workload)
+                await self.behavior(peer, handle, workload)
 
 
 @asynccontextmanager
-async def workers(port: int, *some: GearmanWorker) -> AsyncIterator[None]:
-    """Keep stand-in workers connected."""
-    tasks = [asyncio.ensure_future(w.serve(port)) for w in some]
+async def workers(port: int, *stand_ins: GearmanWorker) -> AsyncIterator[None]:
+    """Keep fake workers connected."""
+    tasks = [asyncio.ensure_future(w.serve(port)) for w in stand_ins]
     admin = await GearmanPeer.connect(port)
 
-    async def known() -> int:
+    async def connected() -> int:
         return sum("post_payment" in line for line in await admin.lines("workers"))
 
-    while await known() < len(some):
+    while await connected() < len(stand_ins):
         await asyncio.sleep(0.01)
     admin.close()
-    await asyncio.sleep(0.02)  # for the list to reach the module
+    await asyncio.sleep(0.02)  # for the worker list to reach the decision module
     try:
         yield
     finally:
@@ -216,7 +219,10 @@
 
 
 async def http_message(reader: asyncio.StreamReader) -> tuple[str, dict[str, str], bytes]:
-    """Read one HTTP message whose length is stated."""
+    """Read an HTTP message; return its first line, its headers by lower-case name, and its body.
+
+    Without Content-Length the body is empty.
+    """
     first, *rest = (await reader.readuntil(b"\r\n\r\n")).decode().strip().split("\r\n")
     headers = {name.lower(): value.strip() for name, _, value in (line.partition(":") for line in rest)}
     return first, headers, await reader.readexactly(int(headers.get("content-length", 0)))
@@ -225,7 +231,7 @@
 async def http_post(
     port: int, target: str, body: bytes, headers: str = "",
 ) -> tuple[int, dict[str, str], bytes]:
-    """Send one request on a connection of its own."""
+    """Send a POST request on a new connection; return the answer's status, headers and body."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(f"POST {target} HTTP/1.1\r\n{headers}Content-Length: {len(body)}\r\n\r\n".encode() + body)
     first, got, answer = await http_message(reader)
@@ -234,15 +240,19 @@
 
 
 class HttpWorker:
-    """A stand-in posting worker on HTTP: counts what it is given, answers by ``reply`` and calls back."""
+    """A fake HTTP worker: counts each request body in ``postings``, answers and calls back.
+
+    ``reply`` holds the bytes of its answer; None closes the connection without one. ``states`` holds the
+    call-backs that it sends for each job.
+    """
 
-    def __init__(self, uid: str, postings: Counter[bytes], back: Callable[[], int]) -> None:
-        self.uid, self.postings, self.back = uid, postings, back
+    def __init__(self, uid: str, postings: Counter[bytes], call_back_port: Callable[[], int]) -> None:
+        self.uid, self.postings, self.call_back_port = uid, postings, call_back_port
         self.requests: list[str] = []
         self.headers: list[dict[str, str]] = []
         self.reply: bytes | None = b"HTTP/1.1 202 Accepted\r\nContent-Length: 0\r\n\r\n"
         self.states: list[dict[str, Any]] = [{"state": "started"}, {"state": "done"}]
-        self.early = False  # call back before the 202
+        self.calls_back_first = False  # sends the call-backs before the answer
         self.port = 0
 
     @asynccontextmanager
@@ -256,7 +266,7 @@
 
     async def call_back(self, identity: str, **event: Any) -> int:
         body = json.dumps({"id": identity, "from": self.uid, **event}).encode()
-        return (await http_post(self.back(), "/v1/job-events", body))[0]
+        return (await http_post(self.call_back_port(), "/v1/job-events", body))[0]
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(ConnectionError, asyncio.IncompleteReadError):
@@ -268,7 +278,7 @@
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
                     continue
                 self.postings[body] += 1
-                if not self.early and self.reply:
+                if not self.calls_back_first and self.reply:
                     writer.write(self.reply)
                 if self.reply is None:
                     writer.close()
@@ -276,5 +286,5 @@
                 for event in self.states:
                     result = {"result": f"posted {body.decode()}"} if event["state"] == "done" else {}
                     assert await self.call_back(headers["x-trace-id"], **event, **result) == 200
-                if self.early:
+                if self.calls_back_first:
                     writer.write(self.reply)
--- a/tests/test_gearman_front.py
+++ b/tests/test_gearman_front.py
@@ -1,4 +1,4 @@
-"""The Gearman front on loopback sockets: stand-in clients and workers, and counted postings."""
+"""Tests the Gearman frontend on loopback sockets, with fake clients and workers that count executed jobs."""
 
 import asyncio
 from collections import Counter
@@ -7,11 +7,11 @@
 
 import pytest
 from loopback import (
-    Act,
     GearmanPeer,
     GearmanWorker,
     HttpWorker,
-    Running,
+    JobBehavior,
+    RunningProgram,
     complete,
     http_post,
     run,
@@ -25,8 +25,8 @@
 from hazellead.platform.config import ConfigError
 
 FINAL = (Type.WORK_COMPLETE, Type.WORK_FAIL)
-TWO = "post-1,,gearman,tartu-dc,,up\npost-2,,gearman,tartu-dc,,up\n"
-ONE = "post-1,,gearman,tartu-dc,,up\n"
+TWO_WORKERS = "post-1,,gearman,tartu-dc,,up\npost-2,,gearman,tartu-dc,,up\n"
+ONE_WORKER = "post-1,,gearman,tartu-dc,,up\n"
 
 
 async def submit(peer: GearmanPeer, work: bytes, unique: bytes = b"", kind: Type = Type.SUBMIT_JOB) -> bytes:
@@ -34,40 +34,41 @@
     return (await peer.expect(Type.JOB_CREATED)).args[0]
 
 
-async def chosen(s: Running) -> str:
-    """Return the worker for which a job waits."""
-    assert s.program.gearman
-    waiting = s.program.gearman.workers.waiting
+async def worker_chosen(running: RunningProgram) -> str:
+    """Wait until a job waits for a worker to grab it, and return that worker's name."""
+    assert running.program.gearman
+    waiting = running.program.gearman.workers.waiting
     await until(lambda: any(waiting.values()))
     return next(name for name, jobs in waiting.items() if jobs)
 
 
-async def hang(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
+async def never_finish(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
     await asyncio.Event().wait()
 
 
-async def drop(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
+async def disconnect(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
     peer.close()
     raise ConnectionError
 
 
 def test_a_job_goes_through_with_start_progress_and_data(tmp_path: Path) -> None:
-    async def act(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
+    async def behavior(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
         peer.send(Type.WORK_STATUS, handle, b"1", b"2")
         peer.send(Type.WORK_DATA, handle, b"half")
         await complete(peer, handle, workload)
 
     async def case() -> None:
-        count: Counter[bytes] = Counter()
-        async with scheduler(tmp_path, ONE) as s, workers(s.port, GearmanWorker("post-1", count, act)):
-            client = await GearmanPeer.connect(s.port)
+        postings: Counter[bytes] = Counter()
+        async with scheduler(tmp_path, ONE_WORKER) as running, workers(
+                running.port, GearmanWorker("post-1", postings, behavior)):
+            client = await GearmanPeer.connect(running.port)
             handle = await submit(client, b"a")
             got = [await client.packet() for _ in range(4)]
             assert [p.type for p in got] == [
                 Type.WORK_STATUS, Type.WORK_STATUS, Type.WORK_DATA, Type.WORK_COMPLETE]
             assert [p.args[1:] for p in got] == [
                 (b"0", b"1000"), (b"500", b"1000"), (b"half",), (b"posted a",)]
-            assert {p.args[0] for p in got} == {handle} and count == {b"a": 1}
+            assert {p.args[0] for p in got} == {handle} and postings == {b"a": 1}
             assert (await client.lines("status"))[0] == "post_payment\t0\t0\t1"
             assert any(line.endswith("post-1 : post_payment") for line in await client.lines("workers"))
 
@@ -76,231 +77,239 @@
 
 def test_a_worker_that_drops_mid_job_fails_it_and_nothing_is_posted_again(tmp_path: Path) -> None:
     async def case() -> None:
-        count: Counter[bytes] = Counter()
-        async with scheduler(tmp_path, TWO) as s, workers(
-                s.port, *(GearmanWorker(f"post-{i}", count, drop) for i in (1, 2))):
-            client = await GearmanPeer.connect(s.port)
+        postings: Counter[bytes] = Counter()
+        async with scheduler(tmp_path, TWO_WORKERS) as running, workers(
+                running.port, *(GearmanWorker(f"post-{i}", postings, disconnect) for i in (1, 2))):
+            client = await GearmanPeer.connect(running.port)
             await submit(client, b"a", b"key")
             assert (await client.expect(*FINAL)).type == Type.WORK_FAIL
-            await submit(client, b"a", b"key")  # the outcome is remembered: it may have run
+            await submit(client, b"a", b"key")  # gets the remembered outcome, since the job may have run
             assert (await client.expect(*FINAL)).type == Type.WORK_FAIL
-            assert count == {b"a": 1}
+            assert postings == {b"a": 1}
 
     run(case())
 
 
 def test_a_worker_that_drops_before_its_assignment_loses_the_job_to_another(tmp_path: Path) -> None:
     async def case() -> None:
-        count: Counter[bytes] = Counter()
-        both = {f"post-{i}": GearmanWorker(f"post-{i}", count) for i in (1, 2)}
-        async with scheduler(tmp_path, TWO) as s, workers(s.port, *both.values()):
-            for worker in both.values():
-                worker.awake.clear()  # it will be told of a job and not ask for it
-            client = await GearmanPeer.connect(s.port)
+        postings: Counter[bytes] = Counter()
+        stand_ins = {f"post-{i}": GearmanWorker(f"post-{i}", postings) for i in (1, 2)}
+        async with scheduler(tmp_path, TWO_WORKERS) as running, workers(running.port, *stand_ins.values()):
+            for worker in stand_ins.values():
+                worker.may_grab.clear()  # it is woken for a job and does not grab it
+            client = await GearmanPeer.connect(running.port)
             await submit(client, b"a")
-            both.pop(await chosen(s)).peer.close()
-            for worker in both.values():
-                worker.awake.set()
+            stand_ins.pop(await worker_chosen(running)).peer.close()
+            for worker in stand_ins.values():
+                worker.may_grab.set()
             assert (await client.expect(*FINAL)).args[1] == b"posted a"
-            assert count == {b"a": 1}
+            assert postings == {b"a": 1}
 
     run(case())
 
 
 def test_the_same_unique_key_joins_and_then_replays(tmp_path: Path) -> None:
     async def case() -> None:
-        count: Counter[bytes] = Counter()
-        go = asyncio.Event()
+        postings: Counter[bytes] = Counter()
+        may_finish = asyncio.Event()
 
-        async def act(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
-            await go.wait()
+        async def behavior(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
+            await may_finish.wait()
             await complete(peer, handle, workload)
 
-        async with scheduler(tmp_path, TWO) as s, workers(
-                s.port, *(GearmanWorker(f"post-{i}", count, act) for i in (1, 2))):
-            first, second, third = [await GearmanPeer.connect(s.port) for _ in range(3)]
+        async with scheduler(tmp_path, TWO_WORKERS) as running, workers(
+                running.port, *(GearmanWorker(f"post-{i}", postings, behavior) for i in (1, 2))):
+            first, second, third = [await GearmanPeer.connect(running.port) for _ in range(3)]
             handle = await submit(first, b"a", b"key")
             await first.expect(Type.WORK_STATUS)
             assert await submit(second, b"a", b"key") == handle
-            first.close()  # the job goes on: one that comes back must not post again
+            first.close()  # the job goes on, so that a client that submits it again does not run it twice
             second.send(Type.GET_STATUS_UNIQUE, b"key")
             assert (await second.expect(Type.STATUS_RES_UNIQUE)).args[1:3] == (b"1", b"1")
-            go.set()
+            may_finish.set()
             assert (await second.expect(*FINAL)).args == (handle, b"posted a")
             assert await submit(third, b"a", b"key") == handle
             assert (await third.expect(*FINAL)).args == (handle, b"posted a")
-            assert count == {b"a": 1}
+            assert postings == {b"a": 1}
 
     run(case())
 
 
 @pytest.mark.parametrize("unique", [b"", b"key"])
 @pytest.mark.parametrize("malformed", [False, True])
-def test_nothing_is_begun_for_a_client_that_has_left(tmp_path: Path, unique: bytes, malformed: bool) -> None:
-    """Its job waits for a worker that has been told of it and has not asked yet."""
+def test_no_attempt_starts_for_a_client_that_has_left(tmp_path: Path, unique: bytes, malformed: bool) -> None:
+    """The client leaves while its job waits for a worker that has been woken and has not grabbed it yet."""
     async def case() -> None:
-        count: Counter[bytes] = Counter()
-        worker = GearmanWorker("post-1", count)
-        worker.awake.clear()  # it does not ask when it is woken
-        async with scheduler(tmp_path, ONE, grab=timedelta(seconds=5)) as s, workers(s.port, worker):
-            client = await GearmanPeer.connect(s.port)
+        postings: Counter[bytes] = Counter()
+        worker = GearmanWorker("post-1", postings)
+        worker.may_grab.clear()  # it does not grab a job when it is woken
+        async with scheduler(tmp_path, ONE_WORKER, grab=timedelta(seconds=5)) as running, workers(
+                running.port, worker):
+            client = await GearmanPeer.connect(running.port)
             await submit(client, b"a", unique)
-            assert s.program.gearman
-            chosen = s.program.gearman.workers.waiting
-            await until(lambda: chosen.get("post-1"))
+            assert running.program.gearman
+            waiting = running.program.gearman.workers.waiting
+            await until(lambda: waiting.get("post-1"))
             if malformed:
                 client.writer.write(b"\0REQ\xff\xff\xff\xff\xff\xff\xff\xff")
                 await client.expect(Type.ERROR)
             else:
                 client.close()
-            await until(lambda: not s.program.scheduler.held or not chosen["post-1"][0].may_send())
-            worker.awake.set()
-            await until(lambda: not s.program.scheduler.held)
+            await until(lambda: not running.program.scheduler.held or not waiting["post-1"][0].may_send())
+            worker.may_grab.set()
+            await until(lambda: not running.program.scheduler.held)
             await asyncio.sleep(0.05)
-            assert not count
-            again = await GearmanPeer.connect(s.port)  # one that comes back starts anew: nothing has run
+            assert not postings
+            again = await GearmanPeer.connect(running.port)  # submits it as a new job, since nothing has run
             await submit(again, b"a", unique)
-            assert (await again.expect(*FINAL)).args[1:] == (b"posted a",) and count == {b"a": 1}
+            assert (await again.expect(*FINAL)).args[1:] == (b"posted a",) and postings == {b"a": 1}
 
     run(case())
 
 
-def test_a_job_that_comes_in_the_moment_of_the_close_is_told_to_its_client(tmp_path: Path) -> None:
-    """In the background: it would run, and its client, which heard nothing, would bring it elsewhere too."""
+def test_a_submission_already_read_when_idle_connections_close_is_answered(tmp_path: Path) -> None:
+    """Closing the connection would run a background job twice.
+
+    It would start without JOB_CREATED being sent, and its client would submit it to another scheduler too.
+    """
     async def case() -> None:
-        count: Counter[bytes] = Counter()
-        async with scheduler(tmp_path, ONE) as s, workers(s.port, GearmanWorker("post-1", count)):
-            client = await GearmanPeer.connect(s.port)
+        postings: Counter[bytes] = Counter()
+        async with scheduler(tmp_path, ONE_WORKER) as running, workers(
+                running.port, GearmanWorker("post-1", postings)):
+            client = await GearmanPeer.connect(running.port)
             client.send(Type.ECHO_REQ, b"x")
             await client.expect(Type.ECHO_RES)
-            assert s.program.gearman
-            server, loop, done = s.program.gearman.server, asyncio.get_running_loop(), list[int]()
+            assert running.program.gearman
+            server, loop, done = running.program.gearman.server, asyncio.get_running_loop(), list[int]()
             connection = list(server.connections)[-1]
 
-            def look() -> None:
-                # It comes before what the read wakes, as it was put into the loop's queue before.
+            def close_idle_after_read() -> None:
+                # Runs after the read is done and before the connection's task processes it, since it was
+                # queued in the loop earlier.
                 if connection._pending_read and connection._pending_read.done():
                     server.end_idle()
                     done.append(1)
                 else:
-                    loop.call_soon(look)
+                    loop.call_soon(close_idle_after_read)
 
-            look()
+            close_idle_after_read()
             client.send(Type.SUBMIT_JOB_BG, b"post_payment", b"", b"a")
             await until(lambda: done)
             await client.expect(Type.JOB_CREATED)
-            await until(lambda: count[b"a"])
+            await until(lambda: postings[b"a"])
 
     run(case())
 
 
-async def cut(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
+async def send_truncated_result(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
     peer.writer.write(encode_packet(Type.WORK_COMPLETE, handle, b"posted " + workload, response=False)[:-3])
     peer.close()
 
 
-async def twice(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
+async def report_twice(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
     await complete(peer, handle, workload)
     peer.send(Type.WORK_FAIL, handle)
     await complete(peer, handle, b"again")
 
 
 @pytest.mark.parametrize(
-    ("act", "final"), [(cut, (Type.WORK_FAIL, b"")), (twice, (Type.WORK_COMPLETE, b"posted a"))])
-def test_an_answer_that_is_cut_or_doubled_ends_its_job_once_and_no_other(
-    tmp_path: Path, act: Act, final: tuple[Type, bytes],
+    ("behavior", "final"),
+    [(send_truncated_result, (Type.WORK_FAIL, b"")), (report_twice, (Type.WORK_COMPLETE, b"posted a"))])
+def test_a_truncated_or_repeated_result_ends_its_job_once_and_no_other(
+    tmp_path: Path, behavior: JobBehavior, final: tuple[Type, bytes],
 ) -> None:
     async def case() -> None:
-        count: Counter[bytes] = Counter()
-        worker = GearmanWorker("post-1", count, act)
-        async with scheduler(tmp_path, ONE) as s, workers(s.port, worker):
-            client = await GearmanPeer.connect(s.port)
+        postings: Counter[bytes] = Counter()
+        worker = GearmanWorker("post-1", postings, behavior)
+        async with scheduler(tmp_path, ONE_WORKER) as running, workers(running.port, worker):
+            client = await GearmanPeer.connect(running.port)
             handle = await submit(client, b"a")
             packet = await client.expect(*FINAL)
             assert (packet.type, *packet.args) == (final[0], handle, *([final[1]] if final[1] else []))
             await asyncio.sleep(0.05)
-            if act is twice:
+            if behavior is report_twice:
                 other = await submit(client, b"b")
                 assert (await client.expect(*FINAL)).args == (other, b"posted b")
-            assert max(count.values()) == 1
+            assert max(postings.values()) == 1
 
     run(case())
 
 
-@pytest.mark.parametrize("back", [False, True])
-def test_a_job_that_nobody_waits_for_has_no_further_attempt(tmp_path: Path, back: bool) -> None:
-    """Its first worker hands it back unstarted, so that another attempt would be allowed."""
+@pytest.mark.parametrize("resubmit", [False, True])
+def test_a_job_that_nobody_waits_for_has_no_further_attempt(tmp_path: Path, resubmit: bool) -> None:
+    """The first worker returns the job before starting it, so that another attempt would be allowed."""
     async def case() -> None:
-        count: Counter[bytes] = Counter()
-        both = [HttpWorker(f"post-{i}", count, lambda: s.http) for i in (1, 2)]
-        async with both[0].serving(), both[1].serving():
-            rows = "".join(f"{w.uid},127.0.0.1:{w.port},http,tallinn-dc,,up\n" for w in both)
-            async with scheduler(tmp_path, rows) as s:
-                for worker in both:
+        postings: Counter[bytes] = Counter()
+        stand_ins = [HttpWorker(f"post-{i}", postings, lambda: running.http) for i in (1, 2)]
+        async with stand_ins[0].serving(), stand_ins[1].serving():
+            rows = "".join(f"{w.uid},127.0.0.1:{w.port},http,tallinn-dc,,up\n" for w in stand_ins)
+            async with scheduler(tmp_path, rows) as running:
+                for worker in stand_ins:
                     worker.states = []
-                client = await GearmanPeer.connect(s.port)
+                client = await GearmanPeer.connect(running.port)
                 await submit(client, b"a", b"key")
-                await until(lambda: count[b"a"])
+                await until(lambda: postings[b"a"])
                 client.close()
-                await until(lambda: not s.program.gearman or len(s.program.gearman.server.connections) == 0)
-                if back:
-                    client = await GearmanPeer.connect(s.port)
+                await until(lambda: not running.program.gearman
+                            or len(running.program.gearman.server.connections) == 0)
+                if resubmit:
+                    client = await GearmanPeer.connect(running.port)
                     await submit(client, b"a", b"key")
-                (first,) = [w for w in both if w.headers]
-                for worker in both:
+                (first,) = [w for w in stand_ins if w.headers]
+                for worker in stand_ins:
                     worker.states = [{"state": "done"}]
                 await first.call_back(first.headers[-1]["x-trace-id"], state="returned")
-                if back:
+                if resubmit:
                     assert (await client.expect(*FINAL)).args[1:] == (b"posted a",)
-                await until(lambda: not s.program.scheduler.held)
+                await until(lambda: not running.program.scheduler.held)
                 await asyncio.sleep(0.2)
-                assert count[b"a"] == (2 if back else 1)
+                assert postings[b"a"] == (2 if resubmit else 1)
 
     run(case())
 
 
 def test_a_drained_worker_gets_nothing_even_if_chosen_before(tmp_path: Path) -> None:
     async def case() -> None:
-        count: Counter[bytes] = Counter()
-        worker = GearmanWorker("post-1", count)
-        async with scheduler(tmp_path, ONE) as s, workers(s.port, worker):
-            worker.awake.clear()
-            client = await GearmanPeer.connect(s.port)
+        postings: Counter[bytes] = Counter()
+        worker = GearmanWorker("post-1", postings)
+        async with scheduler(tmp_path, ONE_WORKER) as running, workers(running.port, worker):
+            worker.may_grab.clear()
+            client = await GearmanPeer.connect(running.port)
             await submit(client, b"a")
-            await chosen(s)
-            s.rewrite(ONE.replace("up", "draining"))
-            await until(lambda: not s.program.scheduler.knows_workers)
-            worker.awake.set()
+            await worker_chosen(running)
+            running.rewrite(ONE_WORKER.replace("up", "draining"))
+            await until(lambda: not running.program.scheduler.knows_workers)
+            worker.may_grab.set()
             final = await client.expect(*FINAL)
-            assert final.type == Type.WORK_FAIL and not count
+            assert final.type == Type.WORK_FAIL and not postings
 
     run(case())
 
 
 def test_a_reload_takes_new_functions_and_another_inventory_or_changes_nothing(tmp_path: Path) -> None:
     async def case() -> None:
-        count: Counter[bytes] = Counter()
-        async with scheduler(tmp_path, ONE) as s:
-            operators = tmp_path / "gearman.toml"
-            text = operators.read_text()
+        postings: Counter[bytes] = Counter()
+        async with scheduler(tmp_path, ONE_WORKER) as running:
+            settings_file = tmp_path / "gearman.toml"
+            text = settings_file.read_text()
 
             def reload(new: str) -> None:
-                operators.write_text(new)
-                given = load(operators, {})
-                s.program.reload(given.base, given)
+                settings_file.write_text(new)
+                given = load(settings_file, {})
+                running.program.reload(given.base, given)
 
             (tmp_path / "new.csv").write_text("name,address\nhttp-1,nowhere,1\n")
             new = text.replace('"inventory.csv"', '"new.csv"').replace("post_payment_water", "post_water")
             with pytest.raises(ConfigError, match="new.csv:2"):
                 reload(new)
-            assert s.program.gearman
-            assert "post_payment_water" in s.program.gearman.submissions.functions
+            assert running.program.gearman
+            assert "post_payment_water" in running.program.gearman.submissions.functions
             (tmp_path / "new.csv").write_text("name\npost-2\n")
             reload(new)
-            async with workers(s.port, GearmanWorker("post-2", count)):
-                client = await GearmanPeer.connect(s.port)
-                await submit(client, b"a")  # its worker stands in the new inventory only
-                assert (await client.expect(*FINAL)).type == Type.WORK_COMPLETE and count == {b"a": 1}
+            async with workers(running.port, GearmanWorker("post-2", postings)):
+                client = await GearmanPeer.connect(running.port)
+                await submit(client, b"a")  # its worker is in the new inventory only
+                assert (await client.expect(*FINAL)).type == Type.WORK_COMPLETE and postings == {b"a": 1}
                 client.send(Type.SUBMIT_JOB, b"post_payment_water", b"", b"b")
                 assert (await client.packet()).type == Type.ERROR
                 client.send(Type.SUBMIT_JOB, b"post_water", b"", b"b")
@@ -311,145 +320,147 @@
 
 def test_an_expired_deadline_ends_in_a_failure(tmp_path: Path) -> None:
     async def case() -> None:
-        count: Counter[bytes] = Counter()
-        async with scheduler(tmp_path, ONE, deadline=300) as s, workers(
-                s.port, GearmanWorker("post-1", count, hang)):
-            client = await GearmanPeer.connect(s.port)
+        postings: Counter[bytes] = Counter()
+        async with scheduler(tmp_path, ONE_WORKER, deadline=300) as running, workers(
+                running.port, GearmanWorker("post-1", postings, never_finish)):
+            client = await GearmanPeer.connect(running.port)
             await submit(client, b"a")
             assert (await client.expect(*FINAL)).type == Type.WORK_FAIL
-            assert count == {b"a": 1}
+            assert postings == {b"a": 1}
 
     run(case())
 
 
-@pytest.mark.parametrize(("exceptions", "word"), [(False, Type.WORK_WARNING), (True, Type.WORK_EXCEPTION)])
-def test_a_refusal_says_when_to_come_back_and_is_not_replayed(
-    tmp_path: Path, exceptions: bool, word: Type,
+@pytest.mark.parametrize(
+    ("exceptions", "expected"), [(False, Type.WORK_WARNING), (True, Type.WORK_EXCEPTION)])
+def test_a_refusal_says_when_to_retry_and_is_not_replayed(
+    tmp_path: Path, exceptions: bool, expected: Type,
 ) -> None:
     async def case() -> None:
-        count: Counter[bytes] = Counter()
-        async with scheduler(tmp_path, ONE, deadline=1000) as s:
-            client = await GearmanPeer.connect(s.port)
+        postings: Counter[bytes] = Counter()
+        async with scheduler(tmp_path, ONE_WORKER, deadline=1000) as running:
+            client = await GearmanPeer.connect(running.port)
             if exceptions:
                 client.send(Type.OPTION_REQ, b"exceptions")
                 assert (await client.packet()).type == Type.OPTION_RES
-            await submit(client, b"a", b"key")  # no worker is there
-            said = await client.packet()
-            assert said.type == word and said.args[1].startswith(b"refused: retry after ")
+            await submit(client, b"a", b"key")  # no worker is connected
+            first_packet = await client.packet()
+            assert first_packet.type == expected and first_packet.args[1].startswith(b"refused: retry after ")
             assert (await client.packet()).type == Type.WORK_FAIL
-            async with workers(s.port, GearmanWorker("post-1", count)):
+            async with workers(running.port, GearmanWorker("post-1", postings)):
                 await submit(client, b"a", b"key")
                 assert (await client.expect(*FINAL)).args[1] == b"posted a"
-        assert count == {b"a": 1}
+        assert postings == {b"a": 1}
 
     run(case())
 
 
 def test_a_surge_posts_every_job_once_at_most(tmp_path: Path) -> None:
-    async def slow(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
+    async def finish_or_disconnect(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
         if workload.endswith(b"7"):
-            await drop(peer, handle, workload)
+            await disconnect(peer, handle, workload)
         await asyncio.sleep(0.01)
         await complete(peer, handle, workload)
 
-    async def again(worker: GearmanWorker, port: int) -> None:
-        while True:  # a worker that died is started again
+    async def serve_repeatedly(worker: GearmanWorker, port: int) -> None:
+        while True:  # reconnects after each disconnect
             await worker.serve(port)
 
     async def case() -> None:
-        count: Counter[bytes] = Counter()
+        postings: Counter[bytes] = Counter()
         finals: Counter[bytes] = Counter()
         served: set[bytes] = set()
-        async with scheduler(tmp_path, TWO) as s:
-            fleet = [asyncio.ensure_future(again(GearmanWorker(f"post-{i}", count, slow), s.port))
-                     for i in (1, 2)]
-            await until(lambda: s.program.scheduler.knows_workers)
+        async with scheduler(tmp_path, TWO_WORKERS) as running:
+            tasks = [asyncio.ensure_future(serve_repeatedly(
+                GearmanWorker(f"post-{i}", postings, finish_or_disconnect), running.port)) for i in (1, 2)]
+            await until(lambda: running.program.scheduler.knows_workers)
 
             async def burst(number: int) -> None:
-                client = await GearmanPeer.connect(s.port)
-                works = [b"%d-%d" % (number // 2, i) for i in range(20)]  # every job comes from two clients
+                client = await GearmanPeer.connect(running.port)
+                works = [b"%d-%d" % (number // 2, i) for i in range(20)]  # two clients submit each job
                 for work in works:
                     client.send(Type.SUBMIT_JOB, b"post_payment", work, work)
-                names: dict[bytes, bytes] = {}
+                work_by_handle: dict[bytes, bytes] = {}
                 ended = 0
                 while ended < len(works):
                     packet = await client.expect(Type.JOB_CREATED, *FINAL)
                     if packet.type == Type.JOB_CREATED:
-                        names[packet.args[0]] = works[len(names)]
+                        work_by_handle[packet.args[0]] = works[len(work_by_handle)]
                         continue
                     ended += 1
-                    finals[names[packet.args[0]]] += 1
+                    finals[work_by_handle[packet.args[0]]] += 1
                     if packet.type == Type.WORK_COMPLETE:
-                        served.add(names[packet.args[0]])
+                        served.add(work_by_handle[packet.args[0]])
                 client.close()
 
             await asyncio.gather(*(burst(i) for i in range(10)))
-            for task in fleet:
+            for task in tasks:
                 task.cancel()
-        assert max(count.values()) == 1
+        assert max(postings.values()) == 1
         assert sum(finals.values()) == 200 and len(finals) == 100
-        assert served and served <= set(count)
+        assert served and served <= set(postings)
 
     run(case())
 
 
 def test_a_gearman_client_reaches_an_http_worker(tmp_path: Path) -> None:
     async def case() -> None:
-        count: Counter[bytes] = Counter()
-        worker = HttpWorker("post-3", count, lambda: s.http)
+        postings: Counter[bytes] = Counter()
+        worker = HttpWorker("post-3", postings, lambda: running.http)
         async with worker.serving():
             row = f"post-3,127.0.0.1:{worker.port},http,tallinn-dc,,up\n"
-            async with scheduler(tmp_path, row) as s:
-                client = await GearmanPeer.connect(s.port)
+            async with scheduler(tmp_path, row) as running:
+                client = await GearmanPeer.connect(running.port)
                 handle = await submit(client, b"a")
                 assert (await client.packet()).args == (handle, b"0", b"1000")  # the start
                 assert (await client.expect(*FINAL)).args == (handle, b"posted a")
                 headers = "X-Trace-Id: 77\r\nX-Customer: pohja-vesi\r\nX-Expires-In: 5000m\r\n"
-                assert (await http_post(s.http, "/post-payment", b"b", headers))[::2] == (200, b"posted b")
+                assert (await http_post(
+                    running.http, "/post-payment", b"b", headers))[::2] == (200, b"posted b")
                 worker.reply = b"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
                 worker.states = []
                 await submit(client, b"c")
                 assert (await client.expect(*FINAL)).type == Type.WORK_FAIL
-        assert count[b"a"] == count[b"b"] == 1
+        assert postings[b"a"] == postings[b"b"] == 1
 
     run(case())
 
 
-def test_a_planned_end_finishes_what_is_held_and_refuses_the_rest(tmp_path: Path) -> None:
+def test_a_planned_stop_finishes_accepted_jobs_and_refuses_new_ones(tmp_path: Path) -> None:
     async def case() -> None:
-        count: Counter[bytes] = Counter()
-        go = asyncio.Event()
+        postings: Counter[bytes] = Counter()
+        may_finish = asyncio.Event()
 
-        async def act(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
-            await go.wait()
+        async def behavior(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
+            await may_finish.wait()
             await complete(peer, handle, workload)
 
-        serve_on = timedelta(seconds=0.3)  # after the end was called
-        async with scheduler(tmp_path, ONE, serve_on=serve_on) as s, workers(
-                s.port, GearmanWorker("post-1", count, act)):
-            client = await GearmanPeer.connect(s.port)
+        serve_on = timedelta(seconds=0.3)  # how long jobs are accepted after the stop was requested
+        async with scheduler(tmp_path, ONE_WORKER, serve_on=serve_on) as running, workers(
+                running.port, GearmanWorker("post-1", postings, behavior)):
+            client = await GearmanPeer.connect(running.port)
             handle = await submit(client, b"a")
             await client.expect(Type.WORK_STATUS)
-            assert s.program.gearman
-            stopping = asyncio.ensure_future(s.program.stop())
-            await until(lambda: not s.program.takes_jobs())
+            assert running.program.gearman
+            stopping = asyncio.ensure_future(running.program.stop())
+            await until(lambda: not running.program.takes_jobs())
             await submit(client, b"b")
             assert (await client.packet()).args[1].startswith(b"refused")
             assert (await client.packet()).type == Type.WORK_FAIL
-            go.set()
+            may_finish.set()
             assert (await client.expect(*FINAL)).args == (handle, b"posted a")
             await stopping
             with pytest.raises(ConnectionError):
                 await client.packet()
-            assert count == {b"a": 1}
+            assert postings == {b"a": 1}
 
     run(case())
 
 
-def test_the_unserved_brings_an_error_and_the_malformed_the_end(tmp_path: Path) -> None:
+def test_unserved_packets_get_an_error_and_malformed_ones_end_the_connection(tmp_path: Path) -> None:
     async def case() -> None:
-        async with scheduler(tmp_path, ONE) as s:
-            client = await GearmanPeer.connect(s.port)
+        async with scheduler(tmp_path, ONE_WORKER) as running:
+            client = await GearmanPeer.connect(running.port)
             unserved: list[tuple[Type, tuple[bytes, ...]]] = [
                 (Type.SUBMIT_JOB_EPOCH, (b"f", b"u", b"1", b"d")), (Type.OPTION_REQ, (b"odd",)),
                 (Type.SUBMIT_JOB, (b"odd", b"", b"d")), (Type.NOOP, ())]
@@ -470,75 +481,76 @@
     run(case())
 
 
-
-
-@pytest.mark.parametrize(("first", "drip"), [(b"", b""), (b"\0RE", b""), (b"", b"a"), (b"version\n", b"a")])
-def test_one_that_says_nothing_whole_is_ended_in_time(tmp_path: Path, first: bytes, drip: bytes) -> None:
+@pytest.mark.parametrize(
+    ("first", "repeated"), [(b"", b""), (b"\0RE", b""), (b"", b"a"), (b"version\n", b"a")])
+def test_a_connection_without_a_whole_packet_is_closed_in_time(
+    tmp_path: Path, first: bytes, repeated: bytes,
+) -> None:
     async def case() -> None:
-        async with scheduler(tmp_path, ONE, client_read=timedelta(seconds=0.2)) as s:
-            resting = await GearmanPeer.connect(s.port)
-            resting.send(Type.ECHO_REQ, b"x")
-            await resting.packet()
-            peer = await GearmanPeer.connect(s.port)
+        async with scheduler(tmp_path, ONE_WORKER, client_read=timedelta(seconds=0.2)) as running:
+            idle = await GearmanPeer.connect(running.port)
+            idle.send(Type.ECHO_REQ, b"x")
+            await idle.packet()
+            peer = await GearmanPeer.connect(running.port)
             peer.writer.write(first)
             ended = asyncio.ensure_future(peer.reader.read())
             for _ in range(25):
-                peer.writer.write(drip)
+                peer.writer.write(repeated)
                 await asyncio.sleep(0.02)
             assert ended.done()
-            resting.send(Type.ECHO_REQ, b"y")  # one that has spoken may rest
-            assert (await resting.packet()).args == (b"y",)
+            idle.send(Type.ECHO_REQ, b"y")  # a connection that has sent a whole packet may be idle
+            assert (await idle.packet()).args == (b"y",)
 
     run(case())
 
 
-def test_the_silent_make_room_for_those_who_speak(tmp_path: Path) -> None:
+def test_a_silent_connection_is_closed_to_make_room(tmp_path: Path) -> None:
     async def case() -> None:
-        async with scheduler(tmp_path, ONE, gearman_connections=1, first_byte=timedelta(0)) as s:
-            silent = await GearmanPeer.connect(s.port)
-            peer = await GearmanPeer.connect(s.port)
+        async with scheduler(tmp_path, ONE_WORKER, gearman_connections=1, first_byte=timedelta(0)) as running:
+            silent = await GearmanPeer.connect(running.port)
+            peer = await GearmanPeer.connect(running.port)
             peer.send(Type.ECHO_REQ, b"x")
             assert (await peer.packet()).args == (b"x",)
             assert await silent.reader.read() == b""
-            refused = await GearmanPeer.connect(s.port)
+            refused = await GearmanPeer.connect(running.port)
             assert await refused.reader.read() == b""
 
     run(case())
 
 
-def test_gearman_jobs_count_and_a_drain_spares_workers_and_waiting_clients(tmp_path: Path) -> None:
+def test_gearman_jobs_are_counted_and_a_drain_keeps_workers_and_waiting_clients(tmp_path: Path) -> None:
     async def case() -> None:
-        count, go = Counter[bytes](), asyncio.Event()
+        postings, may_finish = Counter[bytes](), asyncio.Event()
 
-        async def act(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
-            await go.wait()
+        async def behavior(peer: GearmanPeer, handle: bytes, workload: bytes) -> None:
+            await may_finish.wait()
             await complete(peer, handle, workload)
 
-        quick = {"drain_settle": timedelta(milliseconds=50), "drain_take": timedelta(milliseconds=200)}
-        worker = GearmanWorker("post-1", count, act)
-        async with scheduler(tmp_path, ONE, **quick) as s, workers(s.port, worker):
-            await s.program.start()
-            waits, idle = await GearmanPeer.connect(s.port), await GearmanPeer.connect(s.port)
+        short_drain = {"drain_settle": timedelta(milliseconds=50), "drain_take": timedelta(milliseconds=200)}
+        worker = GearmanWorker("post-1", postings, behavior)
+        async with scheduler(tmp_path, ONE_WORKER, **short_drain) as running, workers(running.port, worker):
+            await running.program.start()
+            waiting, idle = await GearmanPeer.connect(running.port), await GearmanPeer.connect(running.port)
             assert await idle.lines("workers")
-            await submit(waits, b"a")
-            await waits.expect(Type.WORK_STATUS)
-            assert s.program.quiesce() and not s.program.life.up
+            await submit(waiting, b"a")
+            await waiting.expect(Type.WORK_STATUS)
+            assert running.program.quiesce() and not running.program.life.up
             with pytest.raises(ConnectionError):
                 await idle.packet()
-            await until(lambda: not s.program.takes_jobs())
-            await submit(waits, b"b")
-            await waits.expect(Type.WORK_FAIL)
-            go.set()
-            assert (await waits.expect(Type.WORK_COMPLETE)).args[1] == b"posted a"
+            await until(lambda: not running.program.takes_jobs())
+            await submit(waiting, b"b")
+            await waiting.expect(Type.WORK_FAIL)
+            may_finish.set()
+            assert (await waiting.expect(Type.WORK_COMPLETE)).args[1] == b"posted a"
             with pytest.raises(ConnectionError):
-                await waits.packet()
-            figures = s.program.stats().splitlines()
+                await waiting.packet()
+            statistics = running.program.stats().splitlines()
             assert {"svc.replies.post-payment.success:1|c", "svc.replies.post-payment.overload:1|c",
-                    "svc.dispatches:1|c", "svc.concurrent:0|g", "svc.targets:1|g"} <= set(figures)
-            assert s.program.resume() and s.program.life.up
-            again = await GearmanPeer.connect(s.port)
+                    "svc.dispatches:1|c", "svc.concurrent:0|g", "svc.targets:1|g"} <= set(statistics)
+            assert running.program.resume() and running.program.life.up
+            again = await GearmanPeer.connect(running.port)
             await submit(again, b"c")
-            assert (await again.expect(*FINAL)).args[1] == b"posted c" and count.total() == 2
+            assert (await again.expect(*FINAL)).args[1] == b"posted c" and postings.total() == 2
             again.close()
 
     run(case())
--- a/tests/test_gearman_parts.py
+++ b/tests/test_gearman_parts.py
@@ -1,4 +1,4 @@
-"""Gearman's packets, job table, workers and inventory, each against a model without sockets."""
+"""Tests Gearman's packets, job table, worker transport and inventory, each without sockets."""
 
 from collections import Counter
 from collections.abc import Callable
@@ -23,48 +23,49 @@
 from hazellead.operators import load
 from hazellead.platform.config import ConfigError, Names
 
-WORDS = st.binary(max_size=40).map(lambda b: b.replace(b"\0", b""))
+ARGUMENT_BYTES = st.binary(max_size=40).map(lambda b: b.replace(b"\0", b""))
 PACKETS = st.sampled_from(sorted(ARGUMENTS)).flatmap(lambda t: st.tuples(
-    st.just(t), st.lists(WORDS, min_size=ARGUMENTS[t], max_size=ARGUMENTS[t]).map(tuple), st.booleans()))
+    st.just(t), st.lists(ARGUMENT_BYTES, min_size=ARGUMENTS[t], max_size=ARGUMENTS[t]).map(tuple),
+    st.booleans()))
 
 
 @STEADY
 @given(st.lists(PACKETS | st.sampled_from(["status", "version"]), max_size=8), st.integers(1, 30))
-def test_packets_and_lines_come_out_as_they_were_written(items: list[Any], piece: int) -> None:
+def test_packets_and_lines_are_parsed_as_they_were_encoded(items: list[Any], piece: int) -> None:
     line = b"".join(f"{i}\r\n".encode() if isinstance(i, str) else encode_packet(i[0], *i[1], response=i[2])
                     for i in items)
-    parser, got = Parser(Limits()), []
+    parser, received = Parser(Limits()), []
     for at in range(0, len(line), piece):
         parser.feed(line[at:at + piece])
         while (item := parser.next()) is not None:
-            got.append(item)
-    assert got == [i if isinstance(i, str) else Packet(*i) for i in items] and parser.empty
+            received.append(item)
+    assert received == [i if isinstance(i, str) else Packet(*i) for i in items] and parser.empty
 
 
 @pytest.mark.parametrize("data", [
     b"\0REX" + bytes(8), b"\0X", b"\0REQ\0\0\0\x07\x7f\0\0\0", b"\0REQ\0\0\0\x07\0\0\0\x01a",
     b"\0REQ\0\0\0\x04\0\0\0\x01a", b"a" * 2000])
-def test_what_cannot_be_followed_ends_the_connection(data: bytes) -> None:
+def test_malformed_bytes_raise_a_packet_error(data: bytes) -> None:
     parser = Parser(Limits())
     parser.feed(data)
     with pytest.raises(PacketError):
         parser.next()
 
 
-class Client:
-    """A listener that notes its packets."""
+class RecordingListener:
+    """A listener that counts the packets it is sent, by type."""
 
     wants_exceptions = False
 
     def __init__(self) -> None:
-        self.got: Counter[Type] = Counter()
+        self.received: Counter[Type] = Counter()
 
     def send(self, number: Type, *args: bytes) -> None:
-        self.got[number] += 1
+        self.received[number] += 1
 
 
-class Keys(RuleBasedStateMachine):
-    """Submissions, ends and time against the table of unique keys."""
+class UniqueKeysMachine(RuleBasedStateMachine):
+    """Compares the table of unique keys with a model, over submissions, job ends and passing time."""
 
     limits = Limits(remembered=2, remembered_bytes=100, remembered_for=timedelta(seconds=10))
 
@@ -74,20 +75,20 @@
         self.table = JobTable("n", self.limits, self.time)  # type: ignore[arg-type]
         self.live: dict[bytes, GearmanJob] = {}
         self.ended: list[tuple[bytes, GearmanJob, Any, int]] = []  # key, ticket, when, size; the oldest first
-        self.waiting: dict[bytes, list[Client]] = {}
+        self.waiting: dict[bytes, list[RecordingListener]] = {}
 
     @rule(key=st.sampled_from([b"a", b"b", b"c", b"d"]))
     def submit(self, key: bytes) -> None:
         found = self.table.find((b"f", key))
-        past = [e for e in self.kept() if e[0] == key]
+        past = [e for e in self.remembered() if e[0] == key]
         assert found is self.live.get(key, past[0][1] if past else None)
         if past:
-            found.replay(client := Client())
-            assert sum(client.got.values()) == 1
+            found.replay(client := RecordingListener())
+            assert sum(client.received.values()) == 1
             return
         if found is None:
             found = self.live[key] = self.table.add("f", (b"f", key), background=False)
-        found.join(client := Client())
+        found.join(client := RecordingListener())
         self.waiting.setdefault(key, []).append(client)
 
     @rule(key=st.sampled_from([b"a", b"b", b"c", b"d"]), how=st.sampled_from(["served", "failed", "refused"]),
@@ -103,13 +104,13 @@
             if how != "refused":
                 self.ended.append((key, job, self.time.now(), size if how == "served" else 0))
             for client in self.waiting.pop(key):
-                assert client.got[Type.WORK_COMPLETE] + client.got[Type.WORK_FAIL] == 1
+                assert client.received[Type.WORK_COMPLETE] + client.received[Type.WORK_FAIL] == 1
 
     @rule(seconds=st.sampled_from([1, 8, 11]))
     def wait(self, seconds: int) -> None:
         self.time.run(timedelta(seconds=seconds))
 
-    def kept(self) -> list[tuple[bytes, GearmanJob, Any, int]]:
+    def remembered(self) -> list[tuple[bytes, GearmanJob, Any, int]]:
         while self.ended and (
             len(self.ended) > self.limits.remembered or sum(e[3] for e in self.ended) > 100
             or self.time.now() - self.ended[0][2] > self.limits.remembered_for
@@ -122,20 +123,20 @@
         assert {t.handle: t for t in self.live.values()} == self.table.live
 
 
-class Line:
-    """A worker's connection that can be ended."""
+class FakeConnection:
+    """A worker's connection that records the packets sent, until it is closed."""
 
     def __init__(self) -> None:
-        self.open, self.got = True, list[tuple[Type, tuple[bytes, ...]]]()
+        self.open, self.received = True, list[tuple[Type, tuple[bytes, ...]]]()
 
     def send(self, number: Type, *args: bytes) -> bool:
         if self.open:
-            self.got.append((number, args))
+            self.received.append((number, args))
         return self.open
 
 
-class Host:
-    """Stands in for the scheduler: notes how attempts end."""
+class FakeAttemptHost:
+    """Stands in for the scheduler; records how attempts end, and checks that each ends once."""
 
     def __init__(self) -> None:
         self.open, self.ends = True, dict[int, Outcome | None]()
@@ -151,35 +152,35 @@
         return lambda *_, **__: None
 
 
-class Assignments(RuleBasedStateMachine):
-    """One worker's connection and what is chosen for it, in any order."""
+class AssignmentsMachine(RuleBasedStateMachine):
+    """Sends attempts, worker packets, drains and disconnects to one worker in any order."""
 
     def __init__(self) -> None:
         super().__init__()
-        self.time, self.host, self.present = VirtualTime(), Host(), list[bool]()
-        self.station = workers.GearmanWorkers(
-            lambda _: "w", Limits(), lambda _, there: self.present.append(there), self.time)
+        self.time, self.host, self.connected = VirtualTime(), FakeAttemptHost(), list[bool]()
+        self.transport = workers.GearmanWorkers(
+            lambda _: "w", Limits(), lambda _, connected: self.connected.append(connected), self.time)
         self.assigned, self.waiting, self.sent = dict[int, bytes](), list[Attempt](), 0
         self.connect()
 
     def connect(self) -> None:
-        self.able = self.asleep = False
-        self.line = Line()
-        self.session = workers.WorkerSession(self.line, self.station)
+        self.capable = self.asleep = False
+        self.connection = FakeConnection()
+        self.session = workers.WorkerSession(self.connection, self.transport)
         self.take(Type.SET_CLIENT_ID, b"w")
 
     def take(self, kind: Type, *args: bytes) -> list[tuple[Type, tuple[bytes, ...]]]:
-        before = len(self.line.got)
+        before = len(self.connection.received)
         self.session.handle_packet(Packet(kind, args))
-        return self.line.got[before:]
+        return self.connection.received[before:]
 
-    @rule(able=st.booleans(), timeout=st.booleans())
-    def can(self, able: bool, timeout: bool) -> None:
-        self.able = able
-        if able and timeout:
+    @rule(capable=st.booleans(), timeout=st.booleans())
+    def set_ability(self, capable: bool, timeout: bool) -> None:
+        self.capable = capable
+        if capable and timeout:
             self.take(Type.CAN_DO_TIMEOUT, b"f", b"9")
         else:
-            self.take(Type.CAN_DO if able else Type.CANT_DO, b"f")
+            self.take(Type.CAN_DO if capable else Type.CANT_DO, b"f")
 
     @rule()
     def choose(self) -> None:
@@ -187,43 +188,43 @@
         now = self.time.now()
         attempt = Attempt(self.host, 1, self.sent, 1, job, now, now)  # type: ignore[arg-type]
         self.sent += 1
-        before = len(self.line.got)
-        room = self.able and not self.waiting
-        self.station.send(attempt)
-        if not room:
+        before = len(self.connection.received)
+        accepted = self.capable and not self.waiting
+        self.transport.send(attempt)
+        if not accepted:
             assert attempt.outcome is Outcome.FULL
         else:
             self.waiting.append(attempt)
-            assert self.line.got[before:] == ([(Type.NOOP, ())] if self.asleep else [])
+            assert self.connection.received[before:] == ([(Type.NOOP, ())] if self.asleep else [])
             self.asleep = False
 
     @rule(kind=st.sampled_from([Type.GRAB_JOB, Type.GRAB_JOB_UNIQ, Type.GRAB_JOB_ALL]))
     def grab(self, kind: Type) -> None:
         self.asleep = False
         ((number, args),) = self.take(kind)
-        if self.waiting and self.host.open and self.able:
+        if self.waiting and self.host.open and self.capable:
             attempt = self.waiting.pop()
             assert len(args) == ARGUMENTS[number] and args[1] == b"f" and args[-1] == b"work"
             self.assigned[attempt.number] = args[0]
         else:
             assert number is Type.NO_JOB
             if not self.host.open:
-                self.handed_back()
+                self.check_handed_back()
 
     @rule()
     def sleep(self) -> None:
-        woken = self.waiting and self.able
+        woken = self.waiting and self.capable
         assert self.take(Type.PRE_SLEEP) == ([(Type.NOOP, ())] if woken else [])
         self.asleep = not woken
 
     @rule(drained=st.booleans())
     def drain(self, drained: bool) -> None:
         self.host.open = not drained
-        self.station.end_unsendable()
+        self.transport.end_unsendable()
         if drained:
-            self.handed_back()
+            self.check_handed_back()
 
-    def handed_back(self) -> None:
+    def check_handed_back(self) -> None:
         for attempt in self.waiting:
             assert attempt.outcome is Outcome.MOOT
         self.waiting.clear()
@@ -238,28 +239,28 @@
 
     @rule()
     def drop(self) -> None:
-        self.line.open = False
-        self.station.connection_lost(self.session)
+        self.connection.open = False
+        self.transport.connection_lost(self.session)
         for number in self.assigned:
             assert self.host.ends[number] is Outcome.RESET, "it may have run"
         for attempt in self.waiting:
             assert attempt.outcome is Outcome.CONNECT_FAILED, "it never ran"
         self.assigned.clear()
         self.waiting.clear()
-        assert self.present[-1] is False
+        assert self.connected[-1] is False
         self.connect()
 
     @rule()
-    def dawdle(self) -> None:
+    def grab_too_late(self) -> None:
         busy = bool(self.assigned)
         self.time.run(timedelta(seconds=1))
-        for attempt in self.waiting:  # not asked for in time
+        for attempt in self.waiting:  # not grabbed in time
             assert attempt.outcome is (Outcome.FULL if busy else Outcome.CONNECT_FAILED)
         self.waiting.clear()
 
     @rule()
-    def overrun(self) -> None:
-        self.time.run(timedelta(seconds=10))  # past the worker's own time limit, where it has one
+    def run_too_long(self) -> None:
+        self.time.run(timedelta(seconds=10))  # past the time limit of CAN_DO_TIMEOUT, if it was set
         self.waiting.clear()
         for number, handle in list(self.assigned.items()):
             if handle not in self.session.running:
@@ -271,14 +272,14 @@
         assert self.sent == len(self.waiting) + len(self.assigned) + len(self.host.ends)
 
 
-for machine in (Keys, Assignments):
+for machine in (UniqueKeysMachine, AssignmentsMachine):
     machine.TestCase.settings = STEADY
-TestKeys, TestAssignments = Keys.TestCase, Assignments.TestCase
+TestKeys, TestAssignments = UniqueKeysMachine.TestCase, AssignmentsMachine.TestCase
 
 NAMES = Names(("post-payment",), (), ("tartu-dc", "tallinn-dc"), ("fast-2c", "mid-3c", "slow-2c"))
 
 
-def test_both_forms_of_the_sample_inventory_say_the_same() -> None:
+def test_both_forms_of_the_sample_inventory_are_equal() -> None:
     csv, yml = (inventory.read(ROOT / f"deploy/inventory.{form}", NAMES, Limits()) for form in ("csv", "yml"))
     assert csv == yml and [h.name for h in csv] == ["post-1", "post-2", "post-3"]
     assert [h.entry.kind for h in csv] == [0, 1, 2] and csv[2].endpoint and csv[2].endpoint.port == 9003
@@ -291,7 +292,7 @@
     ("yml", "a: [", 1), ("yml", "a:\n  odd: 1\n", 2), ("yml", "a:\n  hosts:\n    b:\n      state: x\n", 3),
     ("yml", "a:\n  hosts:\n    b:\n      zone: [1]\n", 4), ("yml", "- a\n", 1),
     ("yml", "a: &a\n  children:\n    b: *a\n", 1)])
-def test_a_bad_inventory_is_told_with_its_line(tmp_path: Path, form: str, text: str, line: int) -> None:
+def test_a_bad_inventory_is_reported_with_its_line(tmp_path: Path, form: str, text: str, line: int) -> None:
     path = tmp_path / f"i.{form}"
     path.write_bytes(text.encode("latin-1"))
     with pytest.raises(ConfigError, match=rf"^{path}:{line}: "):
@@ -300,39 +301,39 @@
 
 def test_a_broken_or_unfinished_edit_keeps_the_old_list(tmp_path: Path) -> None:
     async def case() -> None:
-        path, told, time = tmp_path / "i.csv", list[api.WorkerList](), VirtualTime()
+        path, published, time = tmp_path / "i.csv", list[api.WorkerList](), VirtualTime()
         path.write_text("name,state\na,up\nb,up\n")
-        kept = inventory.Inventory(path, NAMES, Limits(poll=timedelta(hours=1)), time,  # type: ignore[arg-type]
-                                   told.append, lambda: None)
+        directory = inventory.Inventory(path, NAMES, Limits(poll=timedelta(hours=1)), time,  # type: ignore[arg-type]
+                                        published.append, lambda: None)
 
         def phases() -> list[Phase]:
-            return [e.phase for e in told[-1].entries]
+            return [e.phase for e in published[-1].entries]
 
-        assert phases() == [Phase.GONE, Phase.GONE]  # none of them has connected
-        kept.set_connected("a", True)
-        kept.set_connected("b", True)
-        assert phases() == [Phase.READY, Phase.READY] and told[-1].entries[0].started_us == 0
+        assert phases() == [Phase.GONE, Phase.GONE]  # no worker is connected
+        directory.set_connected("a", True)
+        directory.set_connected("b", True)
+        assert phases() == [Phase.READY, Phase.READY] and published[-1].entries[0].started_us == 0
         path.write_text("name,state\na,up\n")
-        kept.poll()  # seen to have changed, not yet trusted
+        directory.poll()  # notices the change, and waits for the file to stay unchanged
         path.write_text("name,state\na,up\nb,draining\n")
-        kept.poll()
+        directory.poll()
         assert phases() == [Phase.READY, Phase.READY]
-        kept.poll()
+        directory.poll()
         assert phases() == [Phase.READY, Phase.DRAINING]
         for broken in ("name,state\na,odd\n", None):
             path.unlink() if broken is None else path.write_text(broken)
-            kept.poll()
-            kept.poll()
+            directory.poll()
+            directory.poll()
             assert phases() == [Phase.READY, Phase.DRAINING]
         path.write_text("name,state\nb,up\n")
-        kept.poll()
-        kept.poll()
+        directory.poll()
+        directory.poll()
         assert phases() == [Phase.GONE, Phase.READY]
         time.run(timedelta(minutes=1))
-        kept.set_connected("b", False)
-        kept.set_connected("b", True)
-        assert told[-1].entries[1].started_us == time.now_us()  # it has just started: cold
-        kept.close()
+        directory.set_connected("b", False)
+        directory.set_connected("b", True)
+        assert published[-1].entries[1].started_us == time.now_us()  # a worker that has just started is cold
+        directory.close()
 
     run(case())
 
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -409,7 +409,7 @@
     async def case() -> None:
         port, count = free_port(), Counter[bytes]()
         worker = HttpWorker("s-1", count, lambda: port)
-        worker.early = True
+        worker.calls_back_first = True
         worker.states = [{"state": "started"}, {"state": "running", "share": 0.5}, {"state": "done"},
                          {"state": "done"}, {"state": "failed"}]
         async with worker.serving(), program(tmp_path, port, worker):
--- a/tests/virtual_loop.py
+++ b/tests/virtual_loop.py
@@ -1,4 +1,4 @@
-"""An asyncio loop in virtual time: its clock moves on whenever nothing is left to do at once."""
+"""An asyncio loop in virtual time: its clock jumps to the next timer whenever no callback is ready."""
 
 import asyncio
 import selectors
@@ -13,9 +13,9 @@
 
 
 class _TimeSkipping(selectors.BaseSelector):
-    """A selector that skips a wait instead of waiting."""
+    """A selector that advances the virtual time by each timeout instead of waiting."""
 
-    _STEP = 1e-9  # past the end of each: a wait that rounding has made too short must still move the clock on
+    _STEP = 1e-9  # added to each timeout, so that one that rounding made too short still advances the clock
 
     def __init__(self) -> None:
         self._real = selectors.DefaultSelector()
@@ -30,7 +30,7 @@
     def select(self, timeout: float | None = None) -> list[tuple[selectors.SelectorKey, int]]:
         ready = self._real.select(0)
         if not ready:
-            assert timeout is not None, "nothing is due, ever"
+            assert timeout is not None, "the loop would wait for ever: no timer is pending"
             self.skipped += timeout + self._STEP if timeout > 0 else 0.0
         return ready
 
@@ -42,7 +42,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop for models without sockets; the same calls come in the same order each time."""
+    """An event loop for models without sockets; callbacks run in the same order in each run."""
 
     def __init__(self) -> None:
         self._skipping = _TimeSkipping()
@@ -53,7 +53,7 @@
 
 
 class VirtualClock(Clock):
-    """The program's clock, on a loop's virtual time."""
+    """A clock that follows a loop's virtual time."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -63,7 +63,7 @@
 
 
 class Timers:
-    """The two calls of an IOLoop that a scheduler makes."""
+    """The IOLoop methods that a scheduler uses, on an asyncio loop."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
         self._loop = loop
@@ -76,7 +76,7 @@
 
 
 def run_virtually(work: Callable[[VirtualLoop], Coroutine[Any, Any, T]]) -> T:
-    """Run a coroutine to its end in virtual time."""
+    """Run a coroutine to its end in virtual time, then cancel the tasks that it left."""
     loop = VirtualLoop()
     try:
         return loop.run_until_complete(work(loop))
