--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -90,9 +90,9 @@
     def __init__(self, folder: Path, inventory: str, deadline: int = 5000, **limits: Any) -> None:
         self.inventory, settings_file = folder / "inventory.csv", folder / "gearman.toml"
         self.inventory.write_text("name,address,protocol,zone,model,state\n" + inventory)
-        self.http, self.port = free_port(), free_port()
+        self.http_port, self.port = free_port(), free_port()
         text = 'seed = "8c1f"\n' + (ROOT / "deploy/gearman.toml").read_text()
-        for old, new in (("127.0.0.1:8080", f"127.0.0.1:{self.http}"),
+        for old, new in (("127.0.0.1:8080", f"127.0.0.1:{self.http_port}"),
                          ("127.0.0.1:4730", f"127.0.0.1:{self.port}"),
                          ("deadline_ms = 5000", f"deadline_ms = {deadline}")):
             text = text.replace(old, new)
@@ -103,7 +103,7 @@
         given = replace(given, base=base, gearman=replace(given.gearman, base=base))
         self.program = Program(given.base, given)
 
-    def rewrite(self, inventory: str) -> None:
+    def rewrite_inventory(self, inventory: str) -> None:
         self.inventory.write_text("name,address,protocol,zone,model,state\n" + inventory)
 
 
@@ -198,15 +198,15 @@
 
 
 @asynccontextmanager
-async def workers(port: int, *stand_ins: GearmanWorker) -> AsyncIterator[None]:
+async def workers(port: int, *fake_workers: GearmanWorker) -> AsyncIterator[None]:
     """Keep fake workers connected."""
-    tasks = [asyncio.ensure_future(w.serve(port)) for w in stand_ins]
+    tasks = [asyncio.ensure_future(w.serve(port)) for w in fake_workers]
     admin = await GearmanPeer.connect(port)
 
     async def connected() -> int:
         return sum("post_payment" in line for line in await admin.lines("workers"))
 
-    while await connected() < len(stand_ins):
+    while await connected() < len(fake_workers):
         await asyncio.sleep(0.01)
     admin.close()
     await asyncio.sleep(0.02)  # for the worker list to reach the decision module
--- a/tests/test_gearman_front.py
+++ b/tests/test_gearman_front.py
@@ -34,7 +34,7 @@
     return (await peer.expect(Type.JOB_CREATED)).args[0]
 
 
-async def worker_chosen(running: RunningProgram) -> str:
+async def wait_for_chosen_worker(running: RunningProgram) -> str:
     """Wait until a job waits for a worker to grab it, and return that worker's name."""
     assert running.program.gearman
     waiting = running.program.gearman.workers.waiting
@@ -93,14 +93,14 @@
 def test_a_worker_that_drops_before_its_assignment_loses_the_job_to_another(tmp_path: Path) -> None:
     async def case() -> None:
         postings: Counter[bytes] = Counter()
-        stand_ins = {f"post-{i}": GearmanWorker(f"post-{i}", postings) for i in (1, 2)}
-        async with scheduler(tmp_path, TWO_WORKERS) as running, workers(running.port, *stand_ins.values()):
-            for worker in stand_ins.values():
+        fake_workers = {f"post-{i}": GearmanWorker(f"post-{i}", postings) for i in (1, 2)}
+        async with scheduler(tmp_path, TWO_WORKERS) as running, workers(running.port, *fake_workers.values()):
+            for worker in fake_workers.values():
                 worker.may_grab.clear()  # it is woken for a job and does not grab it
             client = await GearmanPeer.connect(running.port)
             await submit(client, b"a")
-            stand_ins.pop(await worker_chosen(running)).peer.close()
-            for worker in stand_ins.values():
+            fake_workers.pop(await wait_for_chosen_worker(running)).peer.close()
+            for worker in fake_workers.values():
                 worker.may_grab.set()
             assert (await client.expect(*FINAL)).args[1] == b"posted a"
             assert postings == {b"a": 1}
@@ -240,11 +240,11 @@
     """The first worker returns the job before starting it, so that another attempt would be allowed."""
     async def case() -> None:
         postings: Counter[bytes] = Counter()
-        stand_ins = [HttpWorker(f"post-{i}", postings, lambda: running.http) for i in (1, 2)]
-        async with stand_ins[0].serving(), stand_ins[1].serving():
-            rows = "".join(f"{w.uid},127.0.0.1:{w.port},http,tallinn-dc,,up\n" for w in stand_ins)
+        fake_workers = [HttpWorker(f"post-{i}", postings, lambda: running.http_port) for i in (1, 2)]
+        async with fake_workers[0].serving(), fake_workers[1].serving():
+            rows = "".join(f"{w.uid},127.0.0.1:{w.port},http,tallinn-dc,,up\n" for w in fake_workers)
             async with scheduler(tmp_path, rows) as running:
-                for worker in stand_ins:
+                for worker in fake_workers:
                     worker.states = []
                 client = await GearmanPeer.connect(running.port)
                 await submit(client, b"a", b"key")
@@ -255,8 +255,8 @@
                 if resubmit:
                     client = await GearmanPeer.connect(running.port)
                     await submit(client, b"a", b"key")
-                (first,) = [w for w in stand_ins if w.headers]
-                for worker in stand_ins:
+                (first,) = [w for w in fake_workers if w.headers]
+                for worker in fake_workers:
                     worker.states = [{"state": "done"}]
                 await first.call_back(first.headers[-1]["x-trace-id"], state="returned")
                 if resubmit:
@@ -276,8 +276,8 @@
             worker.may_grab.clear()
             client = await GearmanPeer.connect(running.port)
             await submit(client, b"a")
-            await worker_chosen(running)
-            running.rewrite(ONE_WORKER.replace("up", "draining"))
+            await wait_for_chosen_worker(running)
+            running.rewrite_inventory(ONE_WORKER.replace("up", "draining"))
             await until(lambda: not running.program.scheduler.knows_workers)
             worker.may_grab.set()
             final = await client.expect(*FINAL)
@@ -406,7 +406,7 @@
 def test_a_gearman_client_reaches_an_http_worker(tmp_path: Path) -> None:
     async def case() -> None:
         postings: Counter[bytes] = Counter()
-        worker = HttpWorker("post-3", postings, lambda: running.http)
+        worker = HttpWorker("post-3", postings, lambda: running.http_port)
         async with worker.serving():
             row = f"post-3,127.0.0.1:{worker.port},http,tallinn-dc,,up\n"
             async with scheduler(tmp_path, row) as running:
@@ -416,7 +416,7 @@
                 assert (await client.expect(*FINAL)).args == (handle, b"posted a")
                 headers = "X-Trace-Id: 77\r\nX-Customer: pohja-vesi\r\nX-Expires-In: 5000m\r\n"
                 assert (await http_post(
-                    running.http, "/post-payment", b"b", headers))[::2] == (200, b"posted b")
+                    running.http_port, "/post-payment", b"b", headers))[::2] == (200, b"posted b")
                 worker.reply = b"HTTP/1.1 503 Full\r\nX-Never-Ran: 1\r\nContent-Length: 0\r\n\r\n"
                 worker.states = []
                 await submit(client, b"c")
@@ -530,20 +530,21 @@
         worker = GearmanWorker("post-1", postings, behavior)
         async with scheduler(tmp_path, ONE_WORKER, **short_drain) as running, workers(running.port, worker):
             await running.program.start()
-            waiting, idle = await GearmanPeer.connect(running.port), await GearmanPeer.connect(running.port)
+            waiting_client, idle = (
+                await GearmanPeer.connect(running.port), await GearmanPeer.connect(running.port))
             assert await idle.lines("workers")
-            await submit(waiting, b"a")
-            await waiting.expect(Type.WORK_STATUS)
+            await submit(waiting_client, b"a")
+            await waiting_client.expect(Type.WORK_STATUS)
             assert running.program.quiesce() and not running.program.life.up
             with pytest.raises(ConnectionError):
                 await idle.packet()
             await until(lambda: not running.program.takes_jobs())
-            await submit(waiting, b"b")
-            await waiting.expect(Type.WORK_FAIL)
+            await submit(waiting_client, b"b")
+            await waiting_client.expect(Type.WORK_FAIL)
             may_finish.set()
-            assert (await waiting.expect(Type.WORK_COMPLETE)).args[1] == b"posted a"
+            assert (await waiting_client.expect(Type.WORK_COMPLETE)).args[1] == b"posted a"
             with pytest.raises(ConnectionError):
-                await waiting.packet()
+                await waiting_client.packet()
             statistics = running.program.stats().splitlines()
             assert {"svc.replies.post-payment.success:1|c", "svc.replies.post-payment.overload:1|c",
                     "svc.dispatches:1|c", "svc.concurrent:0|g", "svc.targets:1|g"} <= set(statistics)
