--- a/hazellead/gearman/config.py
+++ b/hazellead/gearman/config.py
@@ -24,7 +24,7 @@
 
 
 def read(file: dict[str, Any], path: Path, environment: Mapping[str, str]) -> GearmanConfig:
-    """Read the parsed file, with paths relative to that of the file; raises ConfigError."""
+    """Read a parsed operator's file, whose relative paths start at its folder; raises ConfigError."""
     section = file.get("gearman")
     if not isinstance(section, dict) or set(section) != {"listen", "inventory", "functions"}:
         raise ConfigError(f"{path}: [gearman] must have exactly the keys listen, inventory and functions")
