--- a/hazellead/__main__.py
+++ b/hazellead/__main__.py
@@ -1,6 +1,7 @@
-"""Reads the configuration, puts the parts together, serves until told to stop.
+"""Reads the configuration, assembles the scheduler and serves until a signal ends it.
 
-With no argument it serves the platform. With the path of an operator's file it serves what that turns on.
+With no argument it serves the platform. With the path of an operator's file it serves the parts that the
+file enables.
 """
 
 import asyncio
@@ -18,22 +19,22 @@
 from tornado.netutil import bind_sockets
 from tornado.tcpserver import TCPServer
 
-from hazellead.console.figures import Figures, Gauges
-from hazellead.console.front import Console
+from hazellead.console.endpoints import Console
+from hazellead.console.metrics import Gauges, Metrics
 from hazellead.core.clock import Clock
 from hazellead.core.generations import Generation
 from hazellead.core.scheduler import Scheduler
-from hazellead.lifecycle.machine import LifeCycle, Phase
+from hazellead.lifecycle.phases import LifeCycle, Phase
 from hazellead.net.server import HttpServer
 from hazellead.platform import config
 from hazellead.platform.clients import Front
 from hazellead.platform.discovery import Watch
 from hazellead.platform.workers import HttpWorkers
 
-# Optional parts are imported where they are used: restarts on the platform need not wait for their libraries.
+# Optional parts are imported where they are used: a start on the platform must not wait for their libraries.
 if TYPE_CHECKING:
     from hazellead.lifecycle.handover import HandoverTarget
-    from hazellead.operators import Operators
+    from hazellead.operator_config import OperatorConfig
     from hazellead.peers.service import PeerService
     from hazellead.platform.handover import PlatformHandover
 
@@ -41,7 +42,7 @@
 
 
 def set_up_log() -> None:
-    """Write one line for each entry to standard error, at once; the libraries' own entries too."""
+    """Write one line for each log entry to standard error, unbuffered, including entries of libraries."""
     logging.basicConfig(format="timestamp=%(asctime)s level=%(levelname)s event=library text=%(message)r")
     structlog.configure(
         processors=[
@@ -57,7 +58,7 @@
 
 
 def listen(server: TCPServer, address: tuple[str, int], backlog: int) -> list[socket.socket]:
-    """Listen, or say in one line why not."""
+    """Listen at an address and return the sockets; raises ConfigError if that fails."""
     try:
         sockets = bind_sockets(address[1], address[0], backlog=backlog)
     except OSError as error:
@@ -67,115 +68,117 @@
 
 
 class Program:
-    """One scheduler and the fronts before it."""
+    """A scheduler with its HTTP, Gearman and console servers."""
 
     def __init__(
-        self, given: config.Config, operators: "Operators | None",
+        self, configuration: config.Config, operator_config: "OperatorConfig | None",
         predecessor: "HandoverTarget | None" = None,
     ) -> None:
-        """Put the parts together and listen. Jobs are taken from now on, but it is ready after ``start``.
+        """Assemble the parts and listen. Jobs are accepted from now on, but it is ready only after ``start``.
 
-        With an ``predecessor`` another process serves at the address, and is replaced in ``start``.
+        With a ``predecessor`` another process serves at the address, and is replaced in ``start``.
         """
-        self.given, self.operators = given, operators
-        clock, self.limits = Clock(), given.limits
+        self.configuration, self.operator_config = configuration, operator_config
+        clock, self.limits = Clock(), configuration.limits
         self.clock = clock
-        self.life = LifeCycle(given.limits, clock.now())
-        self.figures = Figures()
-        self.figures.serve(given.names.classes)
+        self.life = LifeCycle(configuration.limits, clock.now())
+        self.metrics = Metrics()
+        self.metrics.add_classes(configuration.names.classes)
         self.scheduler = Scheduler(
-            given.settings, given.seed, given.limits, clock, IOLoop.current(), self.figures,
-            (given.names.classes, given.names.tenants))
+            configuration.settings, configuration.seed, configuration.limits, clock, IOLoop.current(),
+            self.metrics, (configuration.names.classes, configuration.names.tenants))
         self.watch, self.gearman = None, None
         self.peers: PeerService | None = None
-        if operators and operators.gearman:
+        if operator_config and operator_config.gearman:
             from hazellead.gearman.assembly import GearmanFront
 
-            self.gearman = GearmanFront(operators.gearman, self.scheduler, clock, self.takes_jobs)
+            self.gearman = GearmanFront(operator_config.gearman, self.scheduler, clock, self.takes_jobs)
             self.workers = self.gearman.http
         else:
-            if given.discovery is None:
+            if configuration.discovery is None:
                 raise config.ConfigError("discovery is missing")
             self.watch = Watch(
-                given.discovery, given.names, given.limits, given.known, self.scheduler.listed, given.seed,
-                pushed=not given.settings.must_ask, known_elsewhere=given.known_elsewhere, clock=clock)
-            self.workers = HttpWorkers(self.watch, given.limits, clock)
+                configuration.discovery, configuration.names, configuration.limits, configuration.known,
+                self.scheduler.listed, configuration.seed, pushed=not configuration.settings.must_ask,
+                known_elsewhere=configuration.known_elsewhere, clock=clock)
+            self.workers = HttpWorkers(self.watch, configuration.limits, clock)
             self.scheduler.connect(self.workers, self.watch)
         self.handover: PlatformHandover | None = None
-        self.front = Front(self.scheduler, given.names, lambda *event: (
+        self.front = Front(self.scheduler, configuration.names, lambda *event: (
             self.handover or self.workers).call_back(*event), lambda: self.life.up, self.takes_jobs)
         self.server = HttpServer(
-            given.limits, clock, self.front.handle, lambda: self.life.ends_connections(clock.now()))
+            configuration.limits, clock, self.front.handle, lambda: self.life.ends_connections(clock.now()))
         self.console: HttpServer | None = None
-        if given.console:
-            console_limits = given.limits.for_console()
+        if configuration.console:
+            console_limits = configuration.limits.for_console()
             self.console = HttpServer(console_limits, clock, Console(self).handle, lambda: True)
-            listen(self.console, given.console, console_limits.backlog)
-        if self.watch and given.handover:
+            listen(self.console, configuration.console, console_limits.backlog)
+        if self.watch and configuration.handover:
             from hazellead.platform import handover
 
             self.handover = handover.PlatformHandover(
-                self.life, clock, self.scheduler, self.server, self.workers, self.watch, given, self.front,
-                lambda: listen(self.server, given.listen, given.limits.backlog), predecessor)
+                self.life, clock, self.scheduler, self.server, self.workers, self.watch, configuration,
+                self.front, lambda: listen(
+                    self.server, configuration.listen, configuration.limits.backlog), predecessor)
         else:
-            listen(self.server, given.listen, self.limits.backlog)
-        if operators and operators.gearman and self.gearman:
-            listen(self.gearman.server, operators.gearman.listen, self.limits.backlog)
-        self.sweeper = PeriodicCallback(self.workers.pool.sweep, self.limits.sweep)
-        self.sweeper.start()
-        self.drainer = PeriodicCallback(self._end_idle, self.limits.drain_look)
-        if operators and operators.peers:
+            listen(self.server, configuration.listen, self.limits.backlog)
+        if operator_config and operator_config.gearman and self.gearman:
+            listen(self.gearman.server, operator_config.gearman.listen, self.limits.backlog)
+        self.sweep_timer = PeriodicCallback(self.workers.pool.sweep, self.limits.sweep)
+        self.sweep_timer.start()
+        self.drain_timer = PeriodicCallback(self._end_idle, self.limits.drain_look)
+        if operator_config and operator_config.peers:
             from hazellead.peers.assembly import assemble
 
-            self.peers = assemble(operators.peers, self.scheduler, given, clock)
+            self.peers = assemble(operator_config.peers, self.scheduler, configuration, clock)
 
     async def start(self, hurry: asyncio.Event | None = None) -> None:
-        """Be ready once there is a list of servers, and what others know where that is set.
+        """Become ready once the list of workers has come and, with peers, what they know.
 
-        Each is waited for only so long, and the list only until ``hurry`` is set.
+        Each wait has a time limit; the wait for the list ends also when ``hurry`` is set.
         """
-        given = self.given
+        configuration = self.configuration
         if self.watch:
-            # Whatever the settings say of how lists come: where they are pushed, too, they come on a watch.
+            # Lists come on a watch whether the settings say that they are asked for or pushed.
             self.watch.subscribe()
             await self.watch.first_list(self.limits.first_list, hurry)
         if self.peers:
             await self.peers.start()
         if self.handover:
-            await self.handover.succeed()
+            await self.handover.replace_predecessor()
         self.life.start(self.clock.now())
         if self.handover:
             self.handover.offer_handover()
-        log.info("ready", name=given.name, listen=config.written(given.listen),
-                 classes=",".join(given.names.classes))
+        log.info("ready", name=configuration.name, listen=config.written(configuration.listen),
+                 classes=",".join(configuration.names.classes))
 
     def takes_jobs(self) -> bool:
-        """Say whether a job that comes now is taken."""
+        """Return whether a job that arrives now is accepted."""
         return self.life.takes_jobs(self.clock.now())
 
-    # What the console asks for.
+    # Called by the console.
 
     def healthy(self) -> bool:
-        """Say whether this process takes clients."""
+        """Return whether this process serves clients."""
         return self.life.healthy
 
     def stats(self) -> str:
-        """Return the figures."""
+        """Return the metrics as text."""
         listed, avoided = self.scheduler.listed_workers
-        return self.figures.text(Gauges(self.scheduler.held, listed, avoided))
+        return self.metrics.render(Gauges(self.scheduler.held, listed, avoided))
 
     def quiesce(self) -> bool:
-        """Empty the scheduler; say whether that is what it now does."""
+        """Begin to drain the scheduler; return whether it is being drained now."""
         if self.life.quiesce(self.clock.now()):
             log.info("quiesced", held=self.scheduler.held)
-            self.drainer.start()
+            self.drain_timer.start()
         return self.life.phase is Phase.QUIESCED
 
     def resume(self) -> bool:
-        """Go back to work; say whether it is at work."""
+        """End a drain; return whether the scheduler is ready now."""
         if self.life.resume(self.clock.now()):
             log.info("resumed")
-            self.drainer.stop()
+            self.drain_timer.stop()
         return self.life.phase is Phase.READY
 
     def _end_idle(self) -> None:
@@ -184,81 +187,90 @@
             if self.gearman:
                 self.gearman.end_idle()
 
-    def reload(self, given: config.Config, operators: "Operators | None") -> None:
-        """Bring a new configuration in force, as far as that goes while jobs are under way."""
-        # What may be refused comes first: then nothing has changed.
-        if given.discovery is None and self.watch:
+    def reload(self, configuration: config.Config, operator_config: "OperatorConfig | None") -> None:
+        """Apply a new configuration as far as a running process can.
+
+        Raises ConfigError for one that cannot be applied; nothing has changed then.
+        """
+        # All checks come first, so that a rejected configuration changes nothing.
+        if configuration.discovery is None and self.watch:
             raise config.ConfigError("discovery is missing")
-        if operators is None:
-            config.complete(self.given, given)
-        kept, generation = config.fixed(self.given, given), None
-        if (given.settings, given.names) != (self.given.settings, self.given.names):
-            if self.peers:  # facts go by the numbers of a start's classes
-                kept.append("settings")
+        if operator_config is None:
+            config.complete(self.configuration, configuration)
+        needs_restart, generation = config.fixed(self.configuration, configuration), None
+        if (configuration.settings, configuration.names) != (
+                self.configuration.settings, self.configuration.names):
+            if self.peers:  # peers exchange facts by the class numbers of the start
+                needs_restart.append("settings")
             else:
-                generation = self._following(given)
-        new, held = operators, self.operators
-        if new and held:
-            kept += [part for part in ("gearman", "peers")
-                     if (getattr(new, part) is None) != (getattr(held, part) is None)]
-            commit = self.peers.prepare(new.peers) if self.peers and new.peers else None
-            if self.gearman and new.gearman and held.gearman:
-                kept += ["gearman.listen"] if new.gearman.listen != held.gearman.listen else []
-                # What functions are to the module rests on its settings: they change together or not at all.
-                kept += self.gearman.reload(new.gearman, same="settings" not in kept)
-            kept += commit() if commit else []
-        if self.watch and given.discovery:
-            self.watch.move(given.discovery)
+                generation = self._next_generation(configuration)
+        new_parts, current_parts = operator_config, self.operator_config
+        if new_parts and current_parts:
+            needs_restart += [
+                part for part in ("gearman", "peers")
+                if (getattr(new_parts, part) is None) != (getattr(current_parts, part) is None)]
+            commit = self.peers.prepare(new_parts.peers) if self.peers and new_parts.peers else None
+            if self.gearman and new_parts.gearman and current_parts.gearman:
+                needs_restart += ["gearman.listen"] if (
+                    new_parts.gearman.listen != current_parts.gearman.listen) else []
+                # Functions refer to classes of the settings: both are applied, or neither.
+                needs_restart += self.gearman.reload(new_parts.gearman, same="settings" not in needs_restart)
+            needs_restart += commit() if commit else []
+        if self.watch and configuration.discovery:
+            self.watch.move(configuration.discovery)
         if generation:
-            self._retune(generation, given)
-        if kept:
-            log.warning("config_needs_restart", changed=",".join(kept))
+            self._apply(generation, configuration)
+        if needs_restart:
+            log.warning("config_needs_restart", changed=",".join(needs_restart))
         log.info("config_read")
 
-    def _following(self, given: config.Config) -> Generation:
-        """Return the generation that its settings would be; raises ConfigError."""
+    def _next_generation(self, configuration: config.Config) -> Generation:
+        """Return the generation of settings that this configuration would begin; raises ConfigError."""
         try:
-            return self.scheduler.following(given.settings, given.names.classes, given.names.tenants)
+            return self.scheduler.following(
+                configuration.settings, configuration.names.classes, configuration.names.tenants)
         except ValueError as error:
             raise config.ConfigError(f"settings: {error}") from None
 
-    def _retune(self, generation: Generation, given: config.Config) -> None:
-        """Bring settings in force: for the module and the fronts in one step, and for jobs from now on."""
+    def _apply(self, generation: Generation, configuration: config.Config) -> None:
+        """Apply new settings to the dispatcher and the servers in one step, for jobs from now on."""
         self.scheduler.retune(generation)
-        self.front.names = given.names
-        self.figures.serve(given.names.classes)
+        self.front.names = configuration.names
+        self.metrics.add_classes(configuration.names.classes)
         if self.watch:
-            self.watch.rename(given.names)
-        self.limits = self.limits.paced_as(given.limits)
-        self.life.repace(self.limits)
+            self.watch.rename(configuration.names)
+        self.limits = self.limits.paced_as(configuration.limits)
+        self.life.set_limits(self.limits)
         self.workers.repace(self.limits)
         if self.watch:
-            self.watch.repace(self.limits, pushed=not given.settings.must_ask)
-        held = self.given
-        self.given = replace(
-            given, name=held.name, listen=held.listen, console=held.console, limits=self.limits)
-        log.info("settings_changed", generation=generation.number, classes=",".join(given.names.classes))
+            self.watch.repace(self.limits, pushed=not configuration.settings.must_ask)
+        current = self.configuration
+        self.configuration = replace(
+            configuration, name=current.name, listen=current.listen, console=current.console,
+            limits=self.limits)
+        log.info("settings_changed", generation=generation.number,
+                 classes=",".join(configuration.names.classes))
 
     async def stop(self) -> None:
-        """Serve on while all can still be answered in time, then answer what is held and end connections.
+        """Accept jobs for a limited time, then answer the open ones, close connections and stop.
 
-        Clients keep the connections that they have for as long as these stay open, and a front sends no new
-        ones to a scheduler that is ending: to close early would leave them nowhere to go.
+        Clients use their connections for as long as these stay open, and a load balancer sends no new clients
+        to a scheduler that is ending: closing early would leave these clients without a scheduler.
         """
         log.info("stopping", held=self.scheduler.held)
         now = self.clock.now()
         self.life.end(now)
         self.scheduler.end_by(now + self.limits.answer_by)
-        self.drainer.start()
-        by = now + self.limits.answer_by
+        self.drain_timer.start()
+        answer_by = now + self.limits.answer_by
         if self.handover:
-            self.handover.end_by(by)
-        while self.life.succeeded and self.server.connections and self.clock.now() < by:
-            await asyncio.sleep(self.limits.drain_pause.total_seconds())  # they are answered, then passed on
-        while not self.life.succeeded and self.takes_jobs():
+            self.handover.pass_on_after(answer_by)
+        while self.life.has_successor and self.server.connections and self.clock.now() < answer_by:
+            await asyncio.sleep(self.limits.drain_pause.total_seconds())  # until they are passed on
+        while not self.life.has_successor and self.takes_jobs():
             await asyncio.sleep(self.limits.drain_look.total_seconds())
         self.server.close_idle()
-        # The listeners stay open meanwhile: call-backs and Gearman workers' reports arrive there.
+        # The listening sockets stay open meanwhile, for call-backs and the reports of Gearman workers.
         empty = asyncio.Event()
         self.scheduler.when_empty(empty.set)
         await empty.wait()
@@ -269,79 +281,82 @@
             self.watch.close()
         if self.peers:
             await self.peers.stop()
-        self.sweeper.stop()
-        self.drainer.stop()
+        self.sweep_timer.stop()
+        self.drain_timer.stop()
         if self.handover:
-            await self.handover.end()
+            await self.handover.close()
         if self.console:
             await self.console.finish()
         log.info("stopped")
 
 
-def load(operators_file: str | None) -> tuple[config.Config, "Operators | None"]:
-    """Read the configuration."""
-    if operators_file:
-        from hazellead import operators
+def load(operator_file: str | None) -> tuple[config.Config, "OperatorConfig | None"]:
+    """Read the configuration from the operator's file, if given, or else from the environment."""
+    if operator_file:
+        from hazellead import operator_config
 
-        given = operators.load(Path(operators_file), os.environ)
-        return given.base, given
+        loaded = operator_config.load(Path(operator_file), os.environ)
+        return loaded.base, loaded
     return config.load(os.environ), None
 
 
-async def serve(operators_file: str | None, early: list[int]) -> None:
-    """Serve until SIGTERM or SIGINT; read the configuration again at each SIGHUP, ``early`` ones included."""
+async def serve(operator_file: str | None, early_signals: list[int]) -> None:
+    """Serve until SIGTERM or SIGINT; reload the configuration at each SIGHUP.
+
+    ``early_signals`` has the SIGHUPs that came before this call; they cause one reload after the start.
+    """
     loop, terminated, hurry = asyncio.get_running_loop(), asyncio.Event(), asyncio.Event()
 
-    def end() -> None:
+    def request_end() -> None:
         terminated.set()
         hurry.set()
 
     def note_early() -> None:
-        early.append(signal.SIGHUP)
+        early_signals.append(signal.SIGHUP)
         hurry.set()
 
     for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, end)
+        loop.add_signal_handler(number, request_end)
     loop.add_signal_handler(signal.SIGHUP, note_early)
-    given, operators = load(operators_file)
+    configuration, operator_config = load(operator_file)
     predecessor = None
-    if given.handover and os.path.exists(given.handover):
+    if configuration.handover and os.path.exists(configuration.handover):
         from hazellead.platform import handover
 
-        given, predecessor = await handover.ask(given, given.handover)
-    program = Program(given, operators, predecessor)
+        configuration, predecessor = await handover.ask_predecessor(configuration, configuration.handover)
+    program = Program(configuration, operator_config, predecessor)
     await program.start(hurry)
 
     def reload() -> None:
         try:
-            program.reload(*load(operators_file))
-            program.figures.reloaded(taken=True)
+            program.reload(*load(operator_file))
+            program.metrics.count_reload(accepted=True)
         except config.ConfigError as error:
-            program.figures.reloaded(taken=False)
-            # Guards a running scheduler against a broken file: what is in force stays so.
+            program.metrics.count_reload(accepted=False)
+            # A broken file must not stop a running scheduler: the configuration in force is kept.
             log.error("config_kept", reason=str(error))
 
     loop.add_signal_handler(signal.SIGHUP, reload)
-    if early:
-        # The file that the start has read may be the one before.
+    if early_signals:
+        # The start may have read the file before it was changed.
         reload()
     await terminated.wait()
     await program.stop()
-    # Guards the exit code against one that comes, perhaps again, while the interpreter ends.
+    # A signal that arrives, perhaps again, while the interpreter exits must not change the exit code.
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP, signal.SIGTERM, signal.SIGINT})
 
 
 def main() -> int:
-    """Run the scheduler; a configuration that cannot be used ends it with one plain line."""
+    """Run the scheduler and return the exit code; an invalid configuration is reported in one line."""
     set_up_log()
-    # Guards against ending by a SIGHUP that comes before it is ready, and against losing it.
-    early: list[int] = []
-    signal.signal(signal.SIGHUP, lambda number, _: early.append(number))
+    # A SIGHUP that arrives before the scheduler is ready must neither end the process nor be lost.
+    early_signals: list[int] = []
+    signal.signal(signal.SIGHUP, lambda number, _: early_signals.append(number))
     if len(sys.argv) > 2:
         print("hazellead: usage: python -m hazellead [OPERATOR_FILE]", file=sys.stderr)
         return 2
     try:
-        asyncio.run(serve(sys.argv[1] if len(sys.argv) == 2 else None, early))
+        asyncio.run(serve(sys.argv[1] if len(sys.argv) == 2 else None, early_signals))
     except config.ConfigError as error:
         print(f"hazellead: {error}", file=sys.stderr)
         return 2
--- a/hazellead/console/__init__.py
+++ b/hazellead/console/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' address: figures, health and calls to empty a scheduler and to bring it back."""
+"""The console, an HTTP address for operators: metrics, health, and calls to drain and resume a scheduler."""
--- a/hazellead/lifecycle/handover.py
+++ b/hazellead/lifecycle/handover.py
@@ -1,7 +1,8 @@
-"""One process leaves its address to the next: the steps of both sides over a channel, each with a time limit.
+"""Hand-over of a listening address from one process to its successor, over a channel, step by step.
 
-The old side is a ``HandoverSource``: it listens at a path and serves one successor at a time. The new side is
-a ``HandoverTarget``. Whatever breaks before the new one has started, the old one goes on as before.
+The old process has a ``HandoverSource``: it listens at a path and serves one successor at a time. The new
+process has a ``HandoverTarget``. Each step has a time limit. If anything fails before the new process has
+started to serve, the old one continues as before.
 """
 
 import asyncio
@@ -20,91 +21,95 @@
 
 from hazellead.lifecycle import channel
 from hazellead.lifecycle.channel import Channel
-from hazellead.lifecycle.handover_roles import HandoverPeer, Holds, NobodyYet, Predecessor
-from hazellead.lifecycle.messages import MOST_DESCRIPTORS, VERSION, Message, MessageError
-from hazellead.lifecycle.passing import Batches
+from hazellead.lifecycle.handover_roles import HandoverHandler, NullHandler, OpenWork, PredecessorHandler
+from hazellead.lifecycle.messages import MAX_DESCRIPTORS, PROTOCOL_VERSION, Message, MessageError
+from hazellead.lifecycle.passed_jobs import PendingBatch
 from hazellead.net.server import Detached
 
 log = structlog.get_logger()
 
 
 @dataclass(slots=True, frozen=True)
-class Steps:
-    """How long each side waits for the other."""
+class Timings:
+    """Time limits of the hand-over's steps, and intervals between repeated steps."""
 
     connect: timedelta = timedelta(seconds=1)
-    offer: timedelta = timedelta(seconds=2)  # for an answer to hello
-    build: timedelta = timedelta(seconds=10)  # from the offer to ready: the new process puts itself together
+    offer: timedelta = timedelta(seconds=2)  # from hello to the answer
+    build: timedelta = timedelta(seconds=10)  # from the offer to ready: the new process builds its parts
     commit: timedelta = timedelta(seconds=2)
-    again: timedelta = timedelta(milliseconds=200)  # between tries while the other is in no state for it
-    give_up: timedelta = timedelta(seconds=4)  # after so long of that
-    move: timedelta = timedelta(milliseconds=20)  # between looks for connections that can be passed on
-    written: timedelta = timedelta(milliseconds=500)  # for the last messages of one that ends
-    call_back: timedelta = timedelta(seconds=1)  # for a call-back passed on to be answered
-    jobs: timedelta = timedelta(milliseconds=500)  # for the new process's word on a batch of jobs
+    retry_interval: timedelta = timedelta(milliseconds=200)  # while the other cannot be replaced yet
+    retry_limit: timedelta = timedelta(seconds=4)  # from the first attempt; none begins after it
+    pass_on_interval: timedelta = timedelta(milliseconds=20)  # between passes over the open connections
+    flush: timedelta = timedelta(milliseconds=500)  # for the last messages of a process that exits
+    call_back: timedelta = timedelta(seconds=1)  # for the answer to a forwarded call-back
+    job_decision: timedelta = timedelta(milliseconds=500)  # for the new process's answer to a batch of jobs
 
 
-STEPS = Steps()
-MOVED_AHEAD = 16  # messages not written yet, over which no more connections are moved
+TIMINGS = Timings()
+MAX_UNSENT_MESSAGES = 16  # on the channel; while as many wait, no more connections or jobs are passed on
 
 
-class Link:
-    """A channel between two processes that serve, whichever of them is the older."""
+class HandoverLink:
+    """The channel between two processes that both serve, as either of them uses it."""
 
-    def __init__(self, peer: HandoverPeer) -> None:
-        """Start without a channel."""
-        self.peer = peer
+    def __init__(self, handler: HandoverHandler) -> None:
+        """Start without a channel; ``handler`` acts on the other process's messages."""
+        self.handler = handler
         self.channel: Channel | None = None
-        self._numbers = itertools.count(1)
-        self._asked: dict[int, asyncio.Future[int]] = {}
+        self._call_back_numbers = itertools.count(1)
+        self._forwarded: dict[int, asyncio.Future[int]] = {}
 
     @property
     def open(self) -> bool:
-        """Say whether the other process can be reached."""
+        """Return whether the other process can be reached."""
         return self.channel is not None and self.channel.open
 
     @property
-    def joined(self) -> bool:
-        """Say whether both processes serve, so that a call-back may be for the other."""
+    def both_serve(self) -> bool:
+        """Return whether both processes serve, so that a call-back may concern the other's jobs."""
         raise NotImplementedError
 
     def _send(self, kind: str, sockets: Sequence[socket.socket] = (), **body: Any) -> None:
         if self.channel:
             self.channel.send(kind, sockets, **body)
 
-    def pass_call_back(
+    def forward_call_back(
         self, identity: str, sender: str, state: str, rest: Any,
     ) -> "asyncio.Future[int] | None":
-        """Pass a call-back on; the future gives the answer, 503 if none comes. None: nobody is there."""
-        if not self.joined:
+        """Forward a call-back to the other process; None if no other process serves.
+
+        The future yields the status to answer with: 503 if the other process does not answer in time.
+        """
+        if not self.both_serve:
             return None
-        number, answer = next(self._numbers), asyncio.get_running_loop().create_future()
-        self._asked[number] = answer
-        # Guards against one that hangs: the worker tries again, and by then the other may be gone.
-        asyncio.get_running_loop().call_later(STEPS.call_back.total_seconds(), self._answer, number, 503)
+        number, answer = next(self._call_back_numbers), asyncio.get_running_loop().create_future()
+        self._forwarded[number] = answer
+        # If the other process hangs, 503 makes the worker retry, and by then that process may be gone.
+        asyncio.get_running_loop().call_later(
+            TIMINGS.call_back.total_seconds(), self._settle_forwarded, number, 503)
         self._send("call_back", number=number, id=identity, sender=sender, state=state, rest=rest)
         return answer
 
-    def _answer(self, number: int, status: int) -> None:
-        answer = self._asked.pop(number, None)
+    def _settle_forwarded(self, number: int, status: int) -> None:
+        answer = self._forwarded.pop(number, None)
         if answer and not answer.done():
             answer.set_result(status)
 
-    def follow(self, message: Message, sockets: list[socket.socket]) -> bool:
-        """Act on a message that either side may send; False if it is none of these."""
+    def handle_common(self, message: Message, sockets: list[socket.socket]) -> bool:
+        """Act on a message that either side may send; return False for any other message."""
         if message.kind == "call_back":
             number = message.number("number")
             identity, sender, state = (message.text(key) for key in ("id", "sender", "state"))
-            answer = self.peer.take_call_back(identity, sender, state, message.body.get("rest"))
+            answer = self.handler.take_call_back(identity, sender, state, message.body.get("rest"))
             if answer is None:
                 self._send("answered", number=number, status=200)
             else:
                 answer.add_done_callback(lambda status: self._send(
                     "answered", number=number, status=status.result()))
         elif message.kind == "answered":
-            self._answer(message.number("number"), message.number("status"))
+            self._settle_forwarded(message.number("number"), message.number("status"))
         elif message.kind == "left":
-            self.peer.other_holds(Holds.read(message))
+            self.handler.set_other_open_work(OpenWork.from_message(message))
         elif message.kind == "connections":
             try:
                 read = [base64.b64decode(text, validate=True) for text in message.texts("read")]
@@ -114,312 +119,316 @@
             if not len(read) == len(flags) == len(sockets):
                 raise MessageError("connections do not match their descriptors")
             for sock, data, flag in zip(sockets, read, flags, strict=True):
-                self.peer.adopt(Detached(sock, data, "p" in flag, "l" in flag))
+                self.handler.adopt(Detached(sock, data, "p" in flag, "l" in flag))
         else:
             return False
         return True
 
-    def ended(self) -> None:
-        """Settle what the other process will not answer any more: its jobs have ended with it."""
-        for number in list(self._asked):
-            self._answer(number, 200)
-        self.peer.parted()
-        self.peer.other_holds(Holds())
+    def settle_after_end(self) -> None:
+        """Settle everything that waits for the other process: its jobs have ended with it."""
+        for number in list(self._forwarded):
+            self._settle_forwarded(number, 200)
+        self.handler.other_process_ended()
+        self.handler.set_other_open_work(OpenWork())
 
 
 class _Step(Enum):
-    ALONE = "alone"
+    IDLE = "idle"
     OFFERED = "offered"
     COMMITTED = "committed"
     SUCCEEDED = "succeeded"
 
 
-class HandoverSource(Link):
-    """The old side."""
+class HandoverSource(HandoverLink):
+    """The hand-over in the process that is replaced."""
 
-    def __init__(self, path: str, listen: str, host: Predecessor) -> None:
-        """Offer nothing yet."""
-        super().__init__(host)
-        self._path, self._listen, self._host = path, listen, host
+    def __init__(self, path: str, listen: str, handler: PredecessorHandler) -> None:
+        """Prepare to offer the address ``listen`` at the socket ``path``."""
+        super().__init__(handler)
+        self._path, self._listen, self._predecessor = path, listen, handler
         self._socket: socket.socket | None = None
-        self._step, self._clock = _Step.ALONE, 0  # the second counts steps: earlier ones' limits are void
-        self._final = self._takes = False  # the second: the successor can go on with open jobs
-        self._batches = Batches[str]()
+        self._step, self._timer_number = _Step.IDLE, 0  # timers with an earlier number are void
+        self._closed = self._successor_takes_jobs = False
+        self._batch = PendingBatch[str]()
 
     @property
-    def joined(self) -> bool:
-        """Say whether a successor serves: one that is still built can take nothing but the next step."""
+    def both_serve(self) -> bool:
+        """Return whether a successor serves; one that is still starting accepts only the next step."""
         return self.open and self._step is _Step.SUCCEEDED
 
-    def begin(self) -> None:
-        """Listen; where that cannot be, say so and go on without."""
+    def listen(self) -> None:
+        """Listen for successors; if that fails, log it and continue without hand-over."""
         try:
-            self._socket = channel.bind(self._path)
+            self._socket = channel.listen_at(self._path)
         except OSError as error:
             log.warning("handover_unavailable", reason=error.strerror or str(error))
             return
-        asyncio.get_running_loop().add_reader(self._socket, self._knock)
+        asyncio.get_running_loop().add_reader(self._socket, self._accept)
 
-    def stop(self) -> None:
-        """Serve no further successor."""
+    def stop_listening(self) -> None:
+        """Accept no further successor."""
         if self._socket:
             asyncio.get_running_loop().remove_reader(self._socket)
             self._socket.close()
             self._socket = None
 
-    async def written(self) -> None:
-        """Wait for a moment until all that was passed on is on its way: it is lost with this process else."""
+    async def flush(self) -> None:
+        """Wait, up to a limit, until all messages are sent: those that are not are lost with this process."""
         loop = asyncio.get_running_loop()
-        until = loop.time() + STEPS.written.total_seconds()
-        while self.channel and self.channel.waiting and loop.time() < until:
-            await asyncio.sleep(STEPS.move.total_seconds())
-
-    def end(self) -> None:
-        """End for good: this process is about to exit."""
-        self._final = True
-        if self._step is _Step.ALONE:
+        until = loop.time() + TIMINGS.flush.total_seconds()
+        while self.channel and self.channel.unsent and loop.time() < until:
+            await asyncio.sleep(TIMINGS.pass_on_interval.total_seconds())
+
+    def close(self) -> None:
+        """Stop listening and close the channel for good: this process is about to exit."""
+        self._closed = True
+        if self._step is _Step.IDLE:
             with suppress(OSError):
                 if self._socket:
                     os.unlink(self._path)
-        self.stop()
+        self.stop_listening()
         if self.channel:
             self.channel.close("this process ends")
 
-    def _knock(self) -> None:
+    def _accept(self) -> None:
         with suppress(OSError):
             while self._socket:
                 sock, _ = self._socket.accept()
-                if self.channel or self._final:
-                    sock.close()  # one at a time
+                if self.channel or self._closed:
+                    sock.close()  # one successor at a time
                     continue
-                self.channel = Channel(sock, self._take, self._over)
-                self._limit(STEPS.offer)
+                self.channel = Channel(sock, self._on_message, self._on_channel_end)
+                self._start_timer(TIMINGS.offer)
 
-    def _limit(self, span: timedelta) -> None:
-        """End the channel unless another step is reached in time."""
-        self._clock += 1
-        asyncio.get_running_loop().call_later(span.total_seconds(), self._expire, self._clock)
+    def _start_timer(self, span: timedelta) -> None:
+        """Close the channel after ``span`` unless the next step begins before."""
+        self._timer_number += 1
+        asyncio.get_running_loop().call_later(span.total_seconds(), self._expire, self._timer_number)
 
-    def _expire(self, clock: int) -> None:
-        if clock == self._clock and self._step is not _Step.SUCCEEDED and self.channel:
+    def _expire(self, timer_number: int) -> None:
+        if timer_number == self._timer_number and self._step is not _Step.SUCCEEDED and self.channel:
             self.channel.close("no next step in time")
 
-    def _take(self, message: Message, sockets: list[socket.socket]) -> None:
+    def _on_message(self, message: Message, sockets: list[socket.socket]) -> None:
         step = self._step
-        if step is _Step.ALONE and message.kind == "hello":
-            self._hello(message)
+        if step is _Step.IDLE and message.kind == "hello":
+            self._answer_hello(message)
         elif step is _Step.OFFERED and message.kind == "ready":
             self._step = _Step.COMMITTED
-            self._limit(STEPS.commit)
-            self._send("commit", **self._host.leave())
+            self._start_timer(TIMINGS.commit)
+            self._send("commit", **self._predecessor.stop_accepting())
         elif step is _Step.COMMITTED and message.kind == "started":
             self._step = _Step.SUCCEEDED
-            self.stop()
+            self.stop_listening()
             log.info("handed_over")
-            if self._takes:
-                self._host.successor_takes()
-            self._tick()
+            if self._successor_takes_jobs:
+                self._predecessor.enable_job_passing()
+            self._pass_on_repeatedly()
         elif step is _Step.SUCCEEDED and message.kind == "jobs_ready":
-            self._decide(message.number("number"), message.texts("ids"))
-        elif step is not _Step.SUCCEEDED or not self.follow(message, sockets):
+            self._settle_batch(message.number("number"), message.texts("ids"))
+        elif step is not _Step.SUCCEEDED or not self.handle_common(message, sockets):
             for sock in sockets:
                 sock.close()
             raise MessageError(f"{message.kind} out of turn")
 
-    def _hello(self, message: Message) -> None:
-        if message.number("version") != VERSION or message.text("listen") != self._listen:
+    def _answer_hello(self, message: Message) -> None:
+        if message.number("version") != PROTOCOL_VERSION or message.text("listen") != self._listen:
             self._send("no", why="another version or address", again=False)
             return
-        offer = self._host.offer()
+        offer = self._predecessor.offer()
         if isinstance(offer, str):
             self._send("no", why=offer, again=True)
             return
         sockets, body = offer
-        self._step, self._takes = _Step.OFFERED, message.body.get("takes_jobs") is True
-        self._limit(STEPS.build)
-        self._send("offer", sockets, version=VERSION, **body)
+        self._step, self._successor_takes_jobs = _Step.OFFERED, message.body.get("takes_jobs") is True
+        self._start_timer(TIMINGS.build)
+        self._send("offer", sockets, version=PROTOCOL_VERSION, **body)
 
-    def _tick(self) -> None:
+    def _pass_on_repeatedly(self) -> None:
         if self._step is _Step.SUCCEEDED and self.channel:
-            self._move(self.channel)
-            self._pass_jobs()
-            asyncio.get_running_loop().call_later(STEPS.move.total_seconds(), self._tick)
+            self._pass_connections(self.channel)
+            self._offer_jobs()
+            asyncio.get_running_loop().call_later(
+                TIMINGS.pass_on_interval.total_seconds(), self._pass_on_repeatedly)
 
-    def _pass_jobs(self) -> None:
-        """Offer some jobs, one batch at a time: what is parked is bounded, and so is what lies unread."""
+    def _offer_jobs(self) -> None:
+        """Offer one batch of open jobs at a time: this bounds the parked jobs and the unread messages."""
         channel = self.channel
-        if not self._takes or self._batches.busy or channel is None or not channel.writable:
+        if not self._successor_takes_jobs or self._batch.pending or channel is None or not channel.writable:
             return
-        if channel.waiting >= MOVED_AHEAD:
+        if channel.unsent >= MAX_UNSENT_MESSAGES:
             return
-        if some := self._host.passable(MOST_DESCRIPTORS):
-            self._batches.begin({p.job.job.identity: p.job.job.identity for p, _ in some})
-            number = self._batches.number
-            asyncio.get_running_loop().call_later(STEPS.jobs.total_seconds(), self._decide, number, None)
-            self._send("jobs", [sock for _, sock in some], number=number, jobs=[p.body() for p, _ in some])
-
-    def _decide(self, number: int, ready: Sequence[str] | None) -> None:
-        """Part with the jobs of a batch that the other is ready for; None: its word has not come in time.
-
-        Guards against both acting for one job: what is not parted with here must not be begun there, so the
-        other is told that as well, behind the batch that it may still have to read.
+        if parked := self._predecessor.park_jobs(MAX_DESCRIPTORS):
+            self._batch.start({p.job.job.identity: p.job.job.identity for p, _ in parked})
+            number = self._batch.number
+            asyncio.get_running_loop().call_later(
+                TIMINGS.job_decision.total_seconds(), self._settle_batch, number, None)
+            self._send(
+                "jobs", [sock for _, sock in parked], number=number, jobs=[p.to_body() for p, _ in parked])
+
+    def _settle_batch(self, number: int, ready: Sequence[str] | None) -> None:
+        """Give up the jobs of a batch that the successor is ``ready`` to continue; None if it did not answer.
+
+        Prevents both processes from acting for one job: the successor must not start a job that stays here.
+        So it is told of an empty decision too, after the batch, which it may not have read yet.
         """
-        if number != self._batches.number or not self._batches.busy:
+        if number != self._batch.number or not self._batch.pending:
             return
-        yours, _ = self._batches.settle(number, ready or ())
-        self._send("jobs_yours", number=number, ids=yours)
-        self._host.passed(yours, refused=ready is not None)
+        given_up, _ = self._batch.settle(number, ready or ())
+        self._send("jobs_yours", number=number, ids=given_up)
+        self._predecessor.settle_parked(given_up, refused=ready is not None)
         if ready is not None:
-            self._pass_jobs()
-
-    def _move(self, channel: Channel) -> None:
-        """Pass on what can be at this moment."""
-        self._send("left", **self._host.holds().body())
-        while channel.writable and channel.waiting < MOVED_AHEAD:
-            some = list(itertools.islice(self._host.movable(), MOST_DESCRIPTORS))
-            if not some:
+            self._offer_jobs()
+
+    def _pass_connections(self, channel: Channel) -> None:
+        """Report this process's open work and pass on the connections that have no open job."""
+        self._send("left", **self._predecessor.open_work().to_body())
+        while channel.writable and channel.unsent < MAX_UNSENT_MESSAGES:
+            detached = list(itertools.islice(self._predecessor.detach_idle(), MAX_DESCRIPTORS))
+            if not detached:
                 break
             channel.send(
-                "connections", [m.sock for m in some], read=[base64.b64encode(m.read).decode() for m in some],
-                flags=["p" * m.proven + "l" * m.lasting for m in some])
-
-    def _over(self, reason: str) -> None:
-        step, self._step, channel, self.channel = self._step, _Step.ALONE, self.channel, None
-        self._clock += 1
-        self._batches.void()
-        self._takes = False
-        self.ended()
-        if self._final:
+                "connections", [d.sock for d in detached],
+                read=[base64.b64encode(d.read).decode() for d in detached],
+                flags=["p" * d.proven + "l" * d.lasting for d in detached])
+
+    def _on_channel_end(self, reason: str) -> None:
+        step, self._step, channel, self.channel = self._step, _Step.IDLE, self.channel, None
+        self._timer_number += 1
+        self._batch.clear()
+        self._successor_takes_jobs = False
+        self.settle_after_end()
+        if self._closed:
             return
         if step in (_Step.COMMITTED, _Step.SUCCEEDED):
             log.warning("handover_taken_back", reason=reason)
-            self._host.take_back()
-            self._keep_unwritten(channel)
+            self._predecessor.take_back()
+            self._take_back_unsent(channel)
             if self._socket is None:
-                self.begin()
+                self.listen()
         elif step is _Step.OFFERED:
             log.warning("handover_broken", reason=reason)
 
-
-    def _keep_unwritten(self, channel: Channel | None) -> None:
-        """Serve the connections that the other process has not got: they are still taken on here."""
-        for message, sockets in channel.take_unwritten() if channel else ():
+    def _take_back_unsent(self, channel: Channel | None) -> None:
+        """Serve the connections that were not sent to the other process: only this process has them."""
+        for message, sockets in channel.take_unsent() if channel else ():
             if message.kind == "connections":
-                self.follow(message, sockets)
+                self.handle_common(message, sockets)
             else:
                 for sock in sockets:
                     sock.close()
 
 
 class HandoverError(Exception):
-    """The serving process could not be replaced; it goes on."""
+    """The serving process could not be replaced; it continues to serve."""
 
 
-class BrokenOffError(HandoverError):
-    """The serving process has ended the channel."""
+class ChannelClosedError(HandoverError):
+    """The serving process has closed the channel."""
 
 
-class HandoverTarget(Link):
-    """The new side, before and after it serves."""
+class HandoverTarget(HandoverLink):
+    """The hand-over in the new process, before and after it serves."""
 
     def __init__(self) -> None:
-        """Hold nothing yet; ``peer`` must be set before ``commit``."""
-        super().__init__(NobodyYet())
+        """Start without an offer; ``handler`` must be set before ``commit``."""
+        super().__init__(NullHandler())
         self.sockets: list[socket.socket] = []
-        self.body: dict[str, Any] = {}
-        self._waiting: asyncio.Future[Message] | None = None
+        self.offer_body: dict[str, Any] = {}
+        self._awaited: asyncio.Future[Message] | None = None
         self._serving = False
 
     @property
-    def joined(self) -> bool:
-        """Say whether this process serves beside the other."""
+    def both_serve(self) -> bool:
+        """Return whether this process serves while the other is still there."""
         return self.open and self._serving
 
-    async def ask(self, path: str, listen: str) -> bool:
-        """Ask whoever serves to be replaced. False: nobody does, or it cannot be asked.
+    async def request_offer(self, path: str, listen: str) -> bool:
+        """Ask the process that serves ``listen`` for its offer; False if none answers at ``path``.
 
-        Raises HandoverError where one serves and does not let itself be replaced.
+        Raises HandoverError if the serving process refuses to be replaced.
         """
         loop = asyncio.get_running_loop()
-        until = loop.time() + STEPS.give_up.total_seconds()
+        until = loop.time() + TIMINGS.retry_limit.total_seconds()
         while True:
             try:
-                sock = await channel.connect(path, STEPS.connect.total_seconds())
+                sock = await channel.connect(path, TIMINGS.connect.total_seconds())
             except OSError:
-                return False  # none there, a file that nobody listens at, or no such sockets here
-            self.channel = Channel(sock, self._take, self._over)
-            self._send("hello", version=VERSION, listen=listen, takes_jobs=True)
+                return False  # no such file, nobody listens at it, or no Unix sockets on this system
+            self.channel = Channel(sock, self._on_message, self._on_channel_end)
+            self._send("hello", version=PROTOCOL_VERSION, listen=listen, takes_jobs=True)
             try:
-                answer = await self._next(STEPS.offer, "an offer")
-            except BrokenOffError:  # it ends, or has another at its door
-                answer = Message("no", {"why": "it breaks off", "again": True})
-            if answer.kind == "offer" and answer.number("version") == VERSION and self.sockets:
-                self.body = answer.body
+                answer = await self._next_message(TIMINGS.offer, "an offer")
+            except ChannelClosedError:  # it is exiting, or another successor is connected
+                answer = Message("no", {"why": "it closed the channel", "again": True})
+            if answer.kind == "offer" and answer.number("version") == PROTOCOL_VERSION and self.sockets:
+                self.offer_body = answer.body
                 return True
             self.channel.close("no offer")
             if answer.kind != "no" or answer.body.get("again") is not True or loop.time() > until:
                 raise HandoverError(f"the serving process cannot be replaced: {answer.body.get('why')}")
-            await asyncio.sleep(STEPS.again.total_seconds())
+            await asyncio.sleep(TIMINGS.retry_interval.total_seconds())
 
     async def commit(self) -> Message:
-        """Have the other accept no more; return what it commits. Raises HandoverError."""
+        """Have the other process stop accepting; return its ``commit`` message. Raises HandoverError."""
         self._send("ready")
-        answer = await self._next(STEPS.commit, "its commitment")
+        answer = await self._next_message(TIMINGS.commit, "its commitment")
         if answer.kind != "commit":
-            raise HandoverError(f"the serving process said {answer.kind}")
+            raise HandoverError(f"the serving process answered {answer.kind} to ready")
         self._serving = True
         return answer
 
-    def started(self) -> None:
-        """Say that this process serves."""
+    def confirm_started(self) -> None:
+        """Tell the other process that this one serves."""
         self._send("started")
 
-    def drop(self) -> None:
-        """End the channel and let go of what came."""
+    def abandon(self) -> None:
+        """Close the channel and the sockets received over it."""
         if self.channel:
             self.channel.close()
         for sock in self.sockets:
             sock.close()
         self.sockets = []
 
-    async def _next(self, span: timedelta, what: str) -> Message:
+    async def _next_message(self, span: timedelta, expected: str) -> Message:
         if not self.open:
-            raise BrokenOffError("the serving process broke off")
-        self._waiting = asyncio.get_running_loop().create_future()
+            raise ChannelClosedError("the serving process closed the channel")
+        self._awaited = asyncio.get_running_loop().create_future()
         try:
-            return await asyncio.wait_for(self._waiting, span.total_seconds())
+            return await asyncio.wait_for(self._awaited, span.total_seconds())
         except TimeoutError:
-            self.drop()
-            raise HandoverError(f"the serving process did not send {what} in time") from None
+            self.abandon()
+            raise HandoverError(f"the serving process did not send {expected} in time") from None
         finally:
-            self._waiting = None
+            self._awaited = None
 
-    def _take(self, message: Message, sockets: list[socket.socket]) -> None:
-        if self._waiting and not self._waiting.done():
+    def _on_message(self, message: Message, sockets: list[socket.socket]) -> None:
+        if self._awaited and not self._awaited.done():
             self.sockets += sockets
-            self._waiting.set_result(message)
+            self._awaited.set_result(message)
         elif self._serving and message.kind == "jobs":
             try:
                 number, jobs = message.number("number"), message.body.get("jobs")
                 if not isinstance(jobs, list) or not 0 < len(jobs) == len(sockets):
                     raise MessageError("jobs do not match their descriptors")
-                read = [self.peer.read_job(body) for body in jobs]
+                decoded = [self.handler.read_job(body) for body in jobs]
             except MessageError:
                 for sock in sockets:
                     sock.close()
                 raise
-            self._send("jobs_ready", number=number, ids=self.peer.offered(
-                number, list(zip(read, sockets, strict=True))))
+            self._send("jobs_ready", number=number, ids=self.handler.reserve_jobs(
+                number, list(zip(decoded, sockets, strict=True))))
         elif self._serving and message.kind == "jobs_yours":
-            self.peer.decided(message.number("number"), message.texts("ids"))
-        elif not self._serving or not self.follow(message, sockets):
+            self.handler.settle_reserved(message.number("number"), message.texts("ids"))
+        elif not self._serving or not self.handle_common(message, sockets):
             for sock in sockets:
                 sock.close()
             raise MessageError(f"{message.kind} out of turn")
 
-    def _over(self, reason: str) -> None:
-        if self._waiting and not self._waiting.done():
-            self._waiting.set_exception(BrokenOffError(f"the serving process broke off: {reason}"))
+    def _on_channel_end(self, reason: str) -> None:
+        if self._awaited and not self._awaited.done():
+            self._awaited.set_exception(
+                ChannelClosedError(f"the serving process closed the channel: {reason}"))
         elif self._serving:
             log.info("predecessor_ended", reason=reason)
-        self.ended()
+        self.settle_after_end()
--- a/hazellead/lifecycle/handover_roles.py
+++ b/hazellead/lifecycle/handover_roles.py
@@ -1,4 +1,4 @@
-"""What the two processes of a hand-over do for each other, and what either still holds."""
+"""Interfaces that a process implements to take part in a hand-over, and the open work that it reports."""
 
 import asyncio
 import socket
@@ -7,129 +7,131 @@
 from typing import Any, Protocol
 
 from hazellead.lifecycle.messages import Message, MessageError
-from hazellead.lifecycle.passing import PassedJob
+from hazellead.lifecycle.passed_jobs import PassedJob
 from hazellead.net.server import Detached
 
 
 @dataclass(slots=True, frozen=True)
-class Holds:
-    """What a process still has open: connections of clients and to workers, and attempts by worker's name.
+class OpenWork:
+    """Connections and attempts that a process still has open.
 
-    Of attempts, how many are out and how many of these have not begun. ``taken`` are ids that it has taken
-    since it last told: of requests whose head had come before the hand-over.
+    ``attempts`` has, by worker's uid, the number of open attempts and how many of these have not begun.
+    ``new_ids`` are the ids of jobs that the process has accepted since its last report, from requests whose
+    head had come before the hand-over.
     """
 
-    clients: int = 0
-    workers: int = 0
+    client_connections: int = 0
+    worker_connections: int = 0
     attempts: dict[str, tuple[int, int]] = field(default_factory=dict)
-    taken: list[str] = field(default_factory=list)
+    new_ids: list[str] = field(default_factory=list)
 
-    def body(self) -> dict[str, Any]:
-        """Write it as a message."""
-        return {"connections": self.clients, "workers": self.workers, "attempts": self.attempts,
-                "taken": self.taken}
+    def to_body(self) -> dict[str, Any]:
+        """Return the body of a ``left`` message."""
+        return {"connections": self.client_connections, "workers": self.worker_connections,
+                "attempts": self.attempts, "taken": self.new_ids}
 
     @staticmethod
-    def read(message: Message) -> "Holds":
-        """Read it from a message; raises MessageError."""
-        given = message.body.get("attempts")
+    def from_message(message: Message) -> "OpenWork":
+        """Return the open work that a ``left`` message reports; raises MessageError."""
+        raw_attempts = message.body.get("attempts")
         try:
-            attempts = {uid: (int(held), int(waiting)) for uid, (held, waiting) in given.items()}  # type: ignore[union-attr]
+            attempts = {uid: (int(sent), int(waiting)) for uid, (sent, waiting) in raw_attempts.items()}  # type: ignore[union-attr]
         except (AttributeError, TypeError, ValueError):
             raise MessageError("left.attempts is malformed") from None
-        return Holds(
+        return OpenWork(
             message.number("connections"), message.number("workers"), attempts, message.texts("taken"))
 
 
-class HandoverPeer(Protocol):
-    """What either process does for the other."""
+class HandoverHandler(Protocol):
+    """Acts in either process on the messages of the other."""
 
     def take_call_back(
         self, identity: str, sender: str, state: str, rest: Any,
     ) -> "asyncio.Future[int] | None":
-        """Take in a call-back that reached the other process; raises MessageError if it is malformed.
+        """Handle a call-back that reached the other process; raises MessageError if it is malformed.
 
-        The future gives the answer; None: 200, at once.
+        The future yields the status to answer with; None means 200 at once.
         """
 
     def adopt(self, given: Detached) -> None:
-        """Serve a connection from now on."""
+        """Serve a connection that the other process has passed on."""
 
-    def other_holds(self, holds: Holds) -> None:
-        """Leave room for what the other process still has open, and heed what it has at workers."""
+    def set_other_open_work(self, open_work: OpenWork) -> None:
+        """Count the other process's connections and attempts here too, and remember its new ids."""
 
-    def offered(self, number: int, jobs: Sequence[tuple[PassedJob, socket.socket]]) -> list[str]:
-        """Hold jobs of the other process still, and return the ids of those that could be gone on with here.
+    def reserve_jobs(self, number: int, jobs: Sequence[tuple[PassedJob, socket.socket]]) -> list[str]:
+        """Keep a batch of jobs that the other process offers; return the ids of those that can continue here.
 
-        The sockets of the others are closed, as are those of an earlier batch that was not decided.
+        The sockets of jobs that cannot continue here are closed, and so are those of an earlier batch that
+        was not settled.
         """
 
-    def decided(self, number: int, identities: Sequence[str]) -> None:
-        """Go on with these of a batch that was offered; the others stay with the other process."""
+    def settle_reserved(self, number: int, identities: Sequence[str]) -> None:
+        """Continue with these jobs of an offered batch; the others stay with the other process."""
 
     def read_job(self, body: Any) -> PassedJob:
-        """Read a job within this process's bounds; raises MessageError."""
+        """Decode a job within this process's size limits; raises MessageError."""
 
-    def parted(self) -> None:
-        """Settle what was passing: there is no other process any more."""
+    def other_process_ended(self) -> None:
+        """Settle the jobs that were being passed: the other process is gone."""
 
 
-class Predecessor(HandoverPeer, Protocol):
-    """What the old process leaves."""
+class PredecessorHandler(HandoverHandler, Protocol):
+    """Acts in the process that is being replaced."""
 
     def offer(self) -> tuple[list[socket.socket], dict[str, Any]] | str:
-        """Return copies of the listening sockets and what is known; or why not now."""
+        """Return copies of the listening sockets and the offer's body, or the reason why not now."""
 
-    def leave(self) -> dict[str, Any]:
-        """Accept no more, and tell the ids that are open and those that have ended."""
+    def stop_accepting(self) -> dict[str, Any]:
+        """Accept no more connections; return the ids of open and of ended jobs."""
 
     def take_back(self) -> None:
-        """Accept again: there is no successor after all."""
+        """Accept connections again: the successor is gone."""
 
-    def movable(self) -> Iterable[Detached]:
-        """Give up connections with no job on them, one by one."""
+    def detach_idle(self) -> Iterable[Detached]:
+        """Detach the connections that have no open job, one by one, to be passed on."""
 
-    def holds(self) -> Holds:
-        """Return what is still open here."""
+    def open_work(self) -> OpenWork:
+        """Return what is still open in this process."""
 
-    def successor_takes(self) -> None:
-        """Note that the other process can go on with open jobs."""
+    def enable_job_passing(self) -> None:
+        """Note that the successor can continue open jobs."""
 
-    def passable(self, most: int) -> list[tuple[PassedJob, socket.socket]]:
-        """Park some jobs that would outlast this process; the sockets are copies."""
+    def park_jobs(self, most: int) -> list[tuple[PassedJob, socket.socket]]:
+        """Park up to ``most`` jobs that would outlast this process; the sockets are copies."""
 
-    def passed(self, identities: Sequence[str], *, refused: bool) -> None:
-        """Forget these of the parked jobs, which the other process now has, and go on with the others.
+    def settle_parked(self, identities: Sequence[str], *, refused: bool) -> None:
+        """Forget these of the parked jobs, which the successor now owns, and continue with the others.
 
-        Where it has ``refused`` those, they are not offered again.
+        If the successor has ``refused`` the others, they are not offered again.
         """
 
 
-class NobodyYet:
-    """Stands in until there is somebody to act."""
+class NullHandler:
+    """Handler of a new process that cannot act yet: drops messages and refuses jobs."""
 
     def take_call_back(self, identity: str, sender: str, state: str, rest: Any) -> None:
-        """Pass over."""
+        """Ignore the call-back."""
 
     def read_job(self, body: Any) -> PassedJob:
-        """Take none."""
+        """Refuse the job."""
         raise MessageError("jobs out of turn")
 
-    def offered(self, number: int, jobs: Sequence[tuple[PassedJob, socket.socket]]) -> list[str]:
-        """Take none."""
+    def reserve_jobs(self, number: int, jobs: Sequence[tuple[PassedJob, socket.socket]]) -> list[str]:
+        """Refuse all jobs and close their sockets."""
         for _, sock in jobs:
             sock.close()
         return []
 
-    def decided(self, number: int, identities: Sequence[str]) -> None:
-        """Pass over."""
+    def settle_reserved(self, number: int, identities: Sequence[str]) -> None:
+        """Do nothing: no job is reserved."""
 
-    def parted(self) -> None:
-        """Pass over."""
+    def other_process_ended(self) -> None:
+        """Do nothing: no job is being passed."""
 
     def adopt(self, given: Detached) -> None:
-        """Close."""
+        """Close the connection."""
         given.sock.close()
 
-    def other_holds(self, holds: Holds) -> None:
-        """Pass over."""
+    def set_other_open_work(self, open_work: OpenWork) -> None:
+        """Ignore the report."""
--- a/hazellead/lifecycle/messages.py
+++ b/hazellead/lifecycle/messages.py
@@ -1,8 +1,8 @@
-"""What two processes say to each other when one replaces the other. Pure: bytes in, messages out.
+"""Messages that two processes exchange while one replaces the other, and their encoding. No I/O.
 
-A frame is a length (4 bytes, of what follows the next byte), the number of descriptors that come with it
-(1 byte) and one JSON object with its ``kind``. A reader checks what it needs: the other side may be of
-another version.
+A frame is the payload's length in bytes (4 bytes, big-endian), the number of file descriptors that are sent
+with it (1 byte) and the payload, one JSON object with a ``kind``. The other process may be of another
+version, so a receiver checks each field that it uses.
 """
 
 import json
@@ -11,77 +11,77 @@
 from dataclasses import dataclass
 from typing import Any
 
-VERSION = 1
-MOST_BYTES = 8 << 20  # of one frame: an offer for a thousand workers has some 0.5 MiB
-MOST_DESCRIPTORS = 32  # with one frame; the system takes 253
-_HEAD = struct.Struct(">IB")
+PROTOCOL_VERSION = 1
+MAX_FRAME_BYTES = 8 << 20  # an offer for a thousand workers has some 0.5 MiB
+MAX_DESCRIPTORS = 32  # in one frame; the system allows 253
+_HEADER = struct.Struct(">IB")
 
 
 class MessageError(Exception):
-    """What came is no message; the channel cannot be trusted any more."""
+    """A malformed or unexpected message; the channel cannot be trusted any more."""
 
 
 @dataclass(slots=True, frozen=True)
 class Message:
-    """One message. How many descriptors belong to it is known before they are."""
+    """One message, with the number of file descriptors that belong to it."""
 
     kind: str
     body: dict[str, Any]
     descriptors: int = 0
 
     def text(self, key: str) -> str:
-        """Return a text in the body."""
+        """Return the string at ``key`` of the body; raises MessageError if it is none."""
         if not isinstance(value := self.body.get(key), str):
-            raise MessageError(f"{self.kind}.{key} is no text")
+            raise MessageError(f"{self.kind}.{key} is not a string")
         return value
 
     def texts(self, key: str) -> list[str]:
-        """Return a list of texts in the body."""
+        """Return the list of strings at ``key`` of the body; raises MessageError if it is none."""
         value = self.body.get(key)
         if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
-            raise MessageError(f"{self.kind}.{key} is no list of texts")
+            raise MessageError(f"{self.kind}.{key} is not a list of strings")
         return value
 
     def number(self, key: str) -> int:
-        """Return a whole number, none below 0, in the body."""
+        """Return the non-negative integer at ``key`` of the body; raises MessageError if it is none."""
         value = self.body.get(key)
         if isinstance(value, bool) or not isinstance(value, int) or value < 0:
-            raise MessageError(f"{self.kind}.{key} is no number")
+            raise MessageError(f"{self.kind}.{key} is not a non-negative integer")
         return value
 
 
 def encode(message: Message) -> bytes:
-    """Write a frame."""
-    if message.descriptors > MOST_DESCRIPTORS:
+    """Return the message as a frame; raises MessageError if it exceeds a limit."""
+    if message.descriptors > MAX_DESCRIPTORS:
         raise MessageError("too many descriptors in one message")
     payload = json.dumps({"kind": message.kind, **message.body}, separators=(",", ":")).encode()
-    if len(payload) > MOST_BYTES:
+    if len(payload) > MAX_FRAME_BYTES:
         raise MessageError("message too large")
-    return _HEAD.pack(len(payload), message.descriptors) + payload
+    return _HEADER.pack(len(payload), message.descriptors) + payload
 
 
-class Reader:
-    """Cuts a stream into messages; holds one frame and one read at most."""
+class FrameReader:
+    """Splits a byte stream into messages; buffers at most one frame and one read."""
 
     def __init__(self) -> None:
-        """Start between frames."""
+        """Start with an empty buffer."""
         self._buffer = bytearray()
 
     def feed(self, data: bytes) -> Iterator[Message]:
-        """Add what was read and give the messages that are whole; raises MessageError."""
+        """Add received bytes and yield each complete message; raises MessageError."""
         self._buffer += data
-        while len(self._buffer) >= _HEAD.size:
-            length, descriptors = _HEAD.unpack_from(self._buffer)
-            if length > MOST_BYTES or descriptors > MOST_DESCRIPTORS:
-                raise MessageError("frame out of bounds")
-            if len(self._buffer) < _HEAD.size + length:
+        while len(self._buffer) >= _HEADER.size:
+            length, descriptors = _HEADER.unpack_from(self._buffer)
+            if length > MAX_FRAME_BYTES or descriptors > MAX_DESCRIPTORS:
+                raise MessageError("frame exceeds the limit on bytes or descriptors")
+            if len(self._buffer) < _HEADER.size + length:
                 return
-            payload = bytes(self._buffer[_HEAD.size:_HEAD.size + length])
-            del self._buffer[:_HEAD.size + length]
+            payload = bytes(self._buffer[_HEADER.size:_HEADER.size + length])
+            del self._buffer[:_HEADER.size + length]
             try:
                 body = json.loads(payload)
             except (ValueError, RecursionError):
-                raise MessageError("not JSON") from None
+                raise MessageError("payload is not JSON") from None
             if not isinstance(body, dict) or not isinstance(kind := body.pop("kind", None), str):
-                raise MessageError("no kind")
+                raise MessageError("payload has no kind")
             yield Message(kind, body, descriptors)
--- a/hazellead/platform/handover.py
+++ b/hazellead/platform/handover.py
@@ -1,4 +1,4 @@
-"""What a scheduler leaves to the process that replaces it, and takes over from the one that it replaces."""
+"""The platform's side of a hand-over: passes this process's work to its successor, and takes over its own."""
 
 import asyncio
 import socket
@@ -14,12 +14,12 @@
 from hazellead.core.clock import Clock
 from hazellead.core.passing import Passing, UnknownError
 from hazellead.core.scheduler import Scheduler
-from hazellead.lifecycle import state
-from hazellead.lifecycle.handover import STEPS, HandoverError, HandoverSource, HandoverTarget
-from hazellead.lifecycle.handover_roles import Holds
-from hazellead.lifecycle.machine import LifeCycle, Phase
+from hazellead.lifecycle import knowledge
+from hazellead.lifecycle.handover import TIMINGS, HandoverError, HandoverSource, HandoverTarget
+from hazellead.lifecycle.handover_roles import OpenWork
 from hazellead.lifecycle.messages import MessageError
-from hazellead.lifecycle.passing import Batches, PassedJob
+from hazellead.lifecycle.passed_jobs import PassedJob, PendingBatch
+from hazellead.lifecycle.phases import LifeCycle, Phase
 from hazellead.net.http import Message
 from hazellead.net.server import Detached, Exchange, HttpServer
 from hazellead.platform.clients import Front, Reply
@@ -29,354 +29,373 @@
 
 log = structlog.get_logger()
 
-_MOST_HELD = 16  # call-backs for one job while it passes; a worker repeats those over it
-_MOST_BYTES = 1 << 20  # of bodies in a batch, over which no more are put into it: far below a message's bound
+_MAX_DEFERRED_CALL_BACKS = 16  # for one job while it is passed; workers repeat those over it
+_MAX_BATCH_BYTES = 1 << 20  # of bodies, above which no more jobs are added; far below a message's limit
 
 
 @dataclass(slots=True, eq=False)
-class _Between:
-    """A job of which it is not decided yet whose it is, and the call-backs that wait for that."""
+class _UndecidedJob:
+    """A job that is being passed, its owner not decided yet, and the call-backs that wait for that."""
 
     identity: str
     sock: socket.socket
-    held: list[tuple[tuple[str, str, str, Any], asyncio.Future[int]]] = field(default_factory=list)
+    deferred: list[tuple[tuple[str, str, str, Any], asyncio.Future[int]]] = field(default_factory=list)
 
-    def hold(self, event: tuple[str, str, str, Any]) -> "asyncio.Future[int]":
-        """Keep a call-back until it is decided; over the bound it is answered with a wish for its repeat."""
+    def defer(self, call_back: tuple[str, str, str, Any]) -> "asyncio.Future[int]":
+        """Keep a call-back until the decision; above the limit, answer 503 so that the worker repeats it."""
         answer = asyncio.get_running_loop().create_future()
-        if len(self.held) < _MOST_HELD:
-            self.held.append((event, answer))
+        if len(self.deferred) < _MAX_DEFERRED_CALL_BACKS:
+            self.deferred.append((call_back, answer))
         else:
             answer.set_result(503)
         return answer
 
 
 @dataclass(slots=True, eq=False)
-class _Parked(_Between):
-    """At the process that passes it: its number there and its client's connection."""
+class _ParkedJob(_UndecidedJob):
+    """In the old process: the job's number there and its client's connection."""
 
     number: int = 0
     connection: Detached | None = None
 
 
 @dataclass(slots=True, eq=False)
-class _Offered(_Between):
-    """At the process that may take it over: what it is and when it came."""
+class _ReservedJob(_UndecidedJob):
+    """In the new process: the job as it was offered, and when."""
 
-    given: PassedJob | None = None
-    came: datetime | None = None
+    passed: PassedJob | None = None
+    offered_at: datetime | None = None
 
 
-def _copy(answer: "asyncio.Future[int]", given: "asyncio.Future[int]") -> None:
-    answer.set_result(given.result())
+def _copy_result(answer: "asyncio.Future[int]", source: "asyncio.Future[int]") -> None:
+    answer.set_result(source.result())
 
 
 class PlatformHandover:
-    """A platform's scheduler as one that another process replaces, or that replaces another."""
+    """Takes over from this process's predecessor, if there is one, and later hands over to a successor."""
 
     def __init__(
         self, life: LifeCycle, clock: Clock, scheduler: Scheduler, server: HttpServer, workers: HttpWorkers,
-        watch: Watch, given: Config, front: Front, listen: Callable[[], list[socket.socket]],
+        watch: Watch, config: Config, front: Front, listen: Callable[[], list[socket.socket]],
         predecessor: HandoverTarget | None,
     ) -> None:
-        """Act on these. With an ``predecessor`` another process serves at the address; else listen now."""
-        assert given.handover
+        """Listen at the address now, unless a ``predecessor`` serves there: then take its knowledge over."""
+        assert config.handover
         self._life, self._clock, self._scheduler, self._server = life, clock, scheduler, server
         self._workers, self._watch, self._front = workers, watch, front
-        self._passing = Passing(scheduler, workers, clock, watch.name, self._reachable)
-        self._parked, self._offered = Batches[_Parked](), Batches[_Offered]()
-        self._parted: set[str] = set()  # ids of jobs that the process after this one has taken over
-        self._refused: set[int] = set()  # numbers of those that it could not
-        self._end: datetime | None = None  # by when all that is left here is answered
-        self._taken = 0  # jobs taken over
-        self._told: frozenset[str] = frozenset()  # ids that the process after this one knows
-        self._kept: list[socket.socket] = []  # the listening sockets, while another process accepts on them
+        self._passing = Passing(scheduler, workers, clock, watch.name, self._number_if_reachable)
+        self._parked, self._reserved = PendingBatch[_ParkedJob](), PendingBatch[_ReservedJob]()
+        self._passed_ids: set[str] = set()  # of jobs that the successor has taken over
+        self._refused: set[int] = set()  # numbers of jobs that the successor could not continue
+        self._answer_by: datetime | None = None  # by then every job that stays here is answered
+        self._jobs_taken_over = 0
+        self._reported_ids: frozenset[str] = frozenset()  # ids that the successor knows
+        self._paused_sockets: list[socket.socket] = []  # listening sockets on which the successor accepts now
         self._listen, self._predecessor = listen, predecessor
-        self._successor = HandoverSource(given.handover, written(given.listen), self)
-        self._sockets: list[socket.socket] = []  # those that this process listens at
+        self._successor = HandoverSource(config.handover, written(config.listen), self)
+        self._listening_sockets: list[socket.socket] = []
         if predecessor:
-            predecessor.peer = self
-            self._inherit(predecessor.body)
+            predecessor.handler = self
+            self._take_over_knowledge(predecessor.offer_body)
         else:
-            self._sockets = listen()
+            self._listening_sockets = listen()
 
-    # As the one that replaces.
+    # In the new process: taking over the address.
 
-    def _inherit(self, body: dict[str, Any]) -> None:
-        """Take over what the other process knew; what cannot be read is done without."""
+    def _take_over_knowledge(self, offer_body: dict[str, Any]) -> None:
+        """Learn what the predecessor knew; if it is malformed, log this and start without."""
         try:
-            self._scheduler.learn(state.read(body.get("known"), self._watch.number, *self._names()))
+            self._scheduler.learn(knowledge.decode(
+                offer_body.get("known"), self._watch.number, *self._class_and_tenant_names()))
         except MessageError as error:
             log.warning("handover_incomplete", reason=str(error))
 
-    def _reachable(self, uid: str) -> int | None:
-        """Return the number of a worker that we can call: a job there may have to be given up."""
+    def _number_if_reachable(self, uid: str) -> int | None:
+        """Return the number of a worker whose address is known: its jobs may have to be cancelled there."""
         number = self._watch.number(uid)
         return number if number is not None and self._watch.place(number) else None
 
-    async def succeed(self) -> None:
-        """Replace the process that serves, if there is one; raises ConfigError if that cannot be."""
+    async def replace_predecessor(self) -> None:
+        """Start to serve in place of the predecessor, if there is one; raises ConfigError if that fails."""
         if self._predecessor is None:
             return
         try:
             commit = await self._predecessor.commit()
             self._scheduler.remember([*commit.texts("ended"), *commit.texts("open")])
         except (HandoverError, MessageError) as error:
-            # It may have died, and the address is free; else it serves on, and this process ends here.
+            # If the predecessor has died, the address is free; else listening fails and this process exits.
             log.warning("handover_refused", reason=str(error))
-            self._predecessor.drop()
-            self._sockets = self._listen()
+            self._predecessor.abandon()
+            self._listening_sockets = self._listen()
             return
-        self._sockets = self._predecessor.sockets
-        self._server.add_sockets(self._sockets)
-        self._predecessor.started()
+        self._listening_sockets = self._predecessor.sockets
+        self._server.add_sockets(self._listening_sockets)
+        self._predecessor.confirm_started()
         log.info("took_over")
 
-    def _names(self) -> tuple[list[str], list[str]]:
-        """Return classes' and tenants' names by number; a class that went has none."""
-        now = self._scheduler.generation
-        classes = [name if n in now.classes else "" for n, (name, _) in enumerate(now.rows)]
-        return classes, [name for name, _ in now.tenant_rows]
+    def _class_and_tenant_names(self) -> tuple[list[str], list[str]]:
+        """Return the names of classes and tenants by number; "" for a class that is no longer configured."""
+        generation = self._scheduler.generation
+        classes = [name if n in generation.classes else "" for n, (name, _) in enumerate(generation.rows)]
+        return classes, [name for name, _ in generation.tenant_rows]
 
-    # As the one that is replaced.
+    # In the old process.
 
     def offer_handover(self) -> None:
-        """Let another process replace this one from now on."""
-        self._successor.begin()
+        """Let a successor replace this process from now on."""
+        self._successor.listen()
 
     def offer(self) -> tuple[list[socket.socket], dict[str, Any]] | str:
-        """Return copies of the listening sockets and what is known, or why not now."""
+        """Return copies of the listening sockets and the offer's body, or the reason why not now."""
         if self._life.phase not in (Phase.READY, Phase.QUIESCED):
             return f"it is {self._life.phase.value}"
-        return [s.dup() for s in self._sockets], {
-            "known": state.write(self._scheduler.known(), self._watch.name, *self._names()),
+        return [s.dup() for s in self._listening_sockets], {
+            "known": knowledge.encode(
+                self._scheduler.known(), self._watch.name, *self._class_and_tenant_names()),
             "told": self._watch.told(self._scheduler.workers), "discovery": written(self._watch.address)}
 
-    def leave(self) -> dict[str, Any]:
-        """Accept no more; tell the ids."""
+    def stop_accepting(self) -> dict[str, Any]:
+        """Accept no more connections; return the ids of open and of ended jobs."""
         self._life.hand_over(self._clock.now())
-        self._kept = self._server.pause()
+        self._paused_sockets = self._server.pause()
         self._workers.pool.release_all()
-        self._told = self._scheduler.open_identities
-        return {"open": list(self._told), "ended": self._scheduler.ended_identities}
+        self._reported_ids = self._scheduler.open_identities
+        return {"open": list(self._reported_ids), "ended": self._scheduler.ended_identities}
 
     def take_back(self) -> None:
-        """Accept again."""
+        """Accept connections again: the successor is gone."""
         self._scheduler.passes_on = False
         self._life.take_back(self._clock.now())
-        self._server.add_sockets(self._kept)
-        self._kept = []
+        self._server.add_sockets(self._paused_sockets)
+        self._paused_sockets = []
 
-    def movable(self) -> Iterator[Detached]:
-        """Give up clients' connections with no job on them."""
+    def detach_idle(self) -> Iterator[Detached]:
+        """Detach the connections that have no open job, one by one, to be passed on."""
         for connection in list(self._server.connections):
             if detached := connection.detach():
                 yield detached
 
-    def holds(self) -> Holds:
-        """Return what is still open here."""
+    def open_work(self) -> OpenWork:
+        """Return what is still open in this process."""
         attempts = {self._watch.name(worker): out for worker, out in self._scheduler.out().items()}
-        known, self._told = self._told, self._scheduler.open_identities
-        return Holds(len(self._server.connections), self._workers.pool.count(), attempts,
-                     list(self._told - known))
+        reported, self._reported_ids = self._reported_ids, self._scheduler.open_identities
+        return OpenWork(len(self._server.connections), self._workers.pool.count(), attempts,
+                        list(self._reported_ids - reported))
 
-    def successor_takes(self) -> None:
-        """Leave jobs that outlast this process their time."""
+    def enable_job_passing(self) -> None:
+        """Let jobs that would outlast this process run on, to be passed to the successor."""
         self._scheduler.passes_on = True
 
-    def end_by(self, end: datetime) -> None:
-        """Pass on from now on what would not be answered by then."""
-        self._end = end
+    def pass_on_after(self, end: datetime) -> None:
+        """From now on pass on the jobs that would not be answered by ``end``."""
+        self._answer_by = end
 
-    def passable(self, most: int) -> list[tuple[PassedJob, socket.socket]]:
-        """Park some jobs that would outlast this process; none once their word might come too late.
+    def park_jobs(self, most: int) -> list[tuple[PassedJob, socket.socket]]:
+        """Park up to ``most`` jobs that would outlast this process, for one batch; the sockets are copies.
 
-        What can be answered before the end stays: nothing is won by passing it.
+        Returns none once the successor's decision might come too late. Jobs that can be answered before the
+        end stay here: passing them gains nothing.
         """
-        some, parked = list[tuple[PassedJob, socket.socket]](), dict[str, _Parked]()
-        if self._end is None or self._clock.now() + STEPS.jobs >= self._end:
-            return some
+        batch, parked = list[tuple[PassedJob, socket.socket]](), dict[str, _ParkedJob]()
+        if self._answer_by is None or self._clock.now() + TIMINGS.job_decision >= self._answer_by:
+            return batch
         size = 0
         for connection in list(self._server.connections):
-            if len(some) == most or size > _MOST_BYTES:
+            if len(batch) == most or size > _MAX_BATCH_BYTES:
                 break
             if (exchange := connection.exchange) is None or (number := exchange.job) is None:
                 continue
-            if number in self._refused or (job := self._passing.park(number, self._end)) is None:
+            if number in self._refused or (job := self._passing.park(number, self._answer_by)) is None:
                 continue
             copy = None
             if detached := connection.detach_with_job():
-                with suppress(OSError):  # out of descriptors: later
+                with suppress(OSError):  # out of descriptors: the job is offered again later
                     copy = detached.sock.dup()
             if detached is None or copy is None:
-                self._go_on(number, detached)
+                self._unpark(number, detached)
                 continue
             identity, size = job.job.identity, size + len(job.job.body) + len(detached.read)
-            parked[identity] = _Parked(identity, detached.sock, number=number, connection=detached)
-            some.append((PassedJob(job, detached.read, exchange.message.keep, detached.proven), copy))
-        if some:
-            self._parked.begin(parked)
-        return some
-
-    def _go_on(self, number: int, connection: Detached | None) -> None:
-        """Go on with a parked job, on the connection that was to go with it."""
+            parked[identity] = _ParkedJob(identity, detached.sock, number=number, connection=detached)
+            batch.append((PassedJob(job, detached.read, exchange.message.keep, detached.proven), copy))
+        if batch:
+            self._parked.start(parked)
+        return batch
+
+    def _unpark(self, number: int, connection: Detached | None) -> None:
+        """Continue with a parked job here, on its client's connection if that was detached."""
         if connection:
             self.adopt(connection)
         self._passing.go_on(number)
 
-    def passed(self, identities: Sequence[str], *, refused: bool) -> None:
-        """Forget these of the parked jobs, which the other process now has, and go on with the others."""
-        gone, stay = self._parked.settle(self._parked.number, identities)
-        for job in gone:
+    def settle_parked(self, identities: Sequence[str], *, refused: bool) -> None:
+        """Forget these of the parked jobs, which the successor now owns, and continue with the others.
+
+        If the successor has ``refused`` the others, they are not offered again.
+        """
+        passed, kept = self._parked.settle(self._parked.number, identities)
+        for job in passed:
             self._passing.part(job.number)
-            self._parted.add(job.identity)
+            self._passed_ids.add(job.identity)
             job.sock.close()
-        for job in stay:
-            self._go_on(job.number, job.connection)
+        for job in kept:
+            self._unpark(job.number, job.connection)
             if refused:
                 self._refused.add(job.number)
-        self._release([*gone, *stay])
+        self._handle_deferred([*passed, *kept])
 
-    def _release(self, jobs: Sequence[_Between]) -> None:
-        """Let call-backs go their way that waited for the word on these jobs."""
-        for event, answer in (held for job in jobs for held in job.held):
-            if elsewhere := self.call_back(*event):
-                elsewhere.add_done_callback(partial(_copy, answer))
+    def _handle_deferred(self, jobs: Sequence[_UndecidedJob]) -> None:
+        """Handle the call-backs that waited for the decision on these jobs."""
+        for call_back, answer in (deferred for job in jobs for deferred in job.deferred):
+            if forwarded := self.call_back(*call_back):
+                forwarded.add_done_callback(partial(_copy_result, answer))
             else:
                 answer.set_result(200)
 
-    def parted(self) -> None:
-        """Go on with what was parked, and let go of what was offered: there is no other process any more."""
-        self.passed((), refused=False)
-        self.decided(self._offered.number, ())
-        if self._parted:
-            log.info("jobs_passed_on", count=len(self._parted), refused=len(self._refused))
-        if self._taken:
-            log.info("jobs_taken_over", count=self._taken)
-            self._taken = 0
+    def other_process_ended(self) -> None:
+        """Continue with the parked jobs and drop the reserved ones: the other process is gone."""
+        self.settle_parked((), refused=False)
+        self.settle_reserved(self._reserved.number, ())
+        if self._passed_ids:
+            log.info("jobs_passed_on", count=len(self._passed_ids), refused=len(self._refused))
+        if self._jobs_taken_over:
+            log.info("jobs_taken_over", count=self._jobs_taken_over)
+            self._jobs_taken_over = 0
 
-    # Open jobs, as the one that takes over.
+    # In the new process: taking over open jobs.
 
     def read_job(self, body: Any) -> PassedJob:
-        """Read a job within our bounds; raises MessageError."""
-        return PassedJob.read_from(body, self._server.limits.body)
-
-    def offered(self, number: int, jobs: Sequence[tuple[PassedJob, socket.socket]]) -> list[str]:
-        """Hold jobs still; return the ids of those that could be gone on with here."""
-        self.decided(self._offered.number, ())
-        fit, came = dict[str, _Offered](), self._clock.now()
-        for given, sock in jobs:
-            identity = given.job.job.identity
-            if why := self._why_not(given, len(fit)) or ("twice" if identity in fit else ""):
-                log.warning("job_not_taken_over", job=identity, reason=why)
+        """Decode a job within this process's size limits; raises MessageError."""
+        return PassedJob.from_body(body, self._server.limits.body)
+
+    def reserve_jobs(self, number: int, jobs: Sequence[tuple[PassedJob, socket.socket]]) -> list[str]:
+        """Keep offered jobs until the batch is settled; return the ids of those that can continue here."""
+        self.settle_reserved(self._reserved.number, ())
+        reserved, offered_at = dict[str, _ReservedJob](), self._clock.now()
+        for passed, sock in jobs:
+            identity = passed.job.job.identity
+            if reason := self._refusal_reason(passed, len(reserved)) or (
+                    "its id is in the batch twice" if identity in reserved else ""):
+                log.warning("job_not_taken_over", job=identity, reason=reason)
                 sock.close()
             else:
-                fit[identity] = _Offered(identity, sock, given=given, came=came)
-        self._offered.begin(fit, number)
-        return list(fit)
+                reserved[identity] = _ReservedJob(identity, sock, passed=passed, offered_at=offered_at)
+        self._reserved.start(reserved, number)
+        return list(reserved)
 
-    def _why_not(self, given: PassedJob, more: int) -> str:
+    def _refusal_reason(self, passed: PassedJob, already_reserved: int) -> str:
         if self._life.phase not in (Phase.READY, Phase.QUIESCED):
             return f"it is {self._life.phase.value}"
-        if len(self._server.connections) + more >= self._server.limits.client_connections:
-            return "no room for its connection"
+        if len(self._server.connections) + already_reserved >= self._server.limits.client_connections:
+            return "too many client connections"
         try:
-            self._passing.check(given.job, more)
+            self._passing.check(passed.job, already_reserved)
         except UnknownError as error:
             return str(error)
         return ""
 
-    def decided(self, number: int, identities: Sequence[str]) -> None:
-        """Go on with these of a batch that was offered; the others stay with the other process."""
-        ours, theirs = self._offered.settle(number, identities)
-        for job in ours:
-            assert job.given and job.came
-            # Only what matters for the answer is left of the request: whether its connection stays.
-            first = "POST", job.given.job.job.target, "HTTP/1.1"
-            exchange = Exchange(Message(first, {}, b"", job.given.keep))
-            passed = self._clock.now() - job.came
+    def settle_reserved(self, number: int, identities: Sequence[str]) -> None:
+        """Continue with these jobs of an offered batch; the others stay with the other process."""
+        taken, left = self._reserved.settle(number, identities)
+        for job in taken:
+            assert job.passed and job.offered_at
+            # The answer needs only the target and keep-alive of the original request.
+            first = "POST", job.passed.job.job.target, "HTTP/1.1"
+            exchange = Exchange(Message(first, {}, b"", job.passed.keep_alive))
+            since_offer = self._clock.now() - job.offered_at
             try:
-                number_here = self._passing.take(job.given.job, Reply(exchange), passed)
-            except UnknownError as error:  # settings have changed since it was offered
+                number_here = self._passing.take(job.passed.job, Reply(exchange), since_offer)
+            except UnknownError as error:  # the settings have changed since the offer
                 log.error("job_lost", job=job.identity, reason=str(error))
                 job.sock.close()
                 continue
             self._front.follow(exchange, number_here)
-            self.adopt(Detached(job.sock, job.given.read, job.given.proven, False, exchange))
-            self._taken += 1
-        for job in theirs:
+            self.adopt(Detached(job.sock, job.passed.received, job.passed.proven, False, exchange))
+            self._jobs_taken_over += 1
+        for job in left:
             job.sock.close()
-        self._release([*ours, *theirs])
+        self._handle_deferred([*taken, *left])
 
-    async def end(self) -> None:
-        """Serve no successor any more."""
-        await self._successor.written()
-        self._successor.end()
-        for sock in self._kept:
+    async def close(self) -> None:
+        """Send what is still to be sent to the successor and end the hand-over for good."""
+        await self._successor.flush()
+        self._successor.close()
+        for sock in self._paused_sockets:
             sock.close()
-        self._kept = []
+        self._paused_sockets = []
 
-    # As either.
+    # In either process.
 
     def call_back(self, identity: str, sender: str, state: str, rest: Any) -> "asyncio.Future[int] | None":
-        """Take a call-back in, here or in the other process of this scheduler, whose job it may be."""
-        if between := self._between(identity):
-            return between.hold((identity, sender, state, rest))
+        """Handle a call-back here, or forward it to the other process if that may own the job.
+
+        The future yields the status to answer with; None means 200 at once.
+        """
+        if undecided := self._undecided(identity):
+            return undecided.defer((identity, sender, state, rest))
         if not self._workers.awaits(identity, sender):
             for link in (self._predecessor, self._successor):
-                if link and (elsewhere := link.pass_call_back(identity, sender, state, rest)):
-                    return elsewhere
+                if link and (forwarded := link.forward_call_back(identity, sender, state, rest)):
+                    return forwarded
         self._workers.call_back(identity, sender, state, rest)
         return None
 
-    def _between(self, identity: str) -> _Between | None:
-        return self._parked.jobs.get(identity) or self._offered.jobs.get(identity)
+    def _undecided(self, identity: str) -> _UndecidedJob | None:
+        return self._parked.jobs.get(identity) or self._reserved.jobs.get(identity)
 
     def take_call_back(
         self, identity: str, sender: str, state: str, rest: Any,
     ) -> "asyncio.Future[int] | None":
-        """Take in a call-back that reached the other process; raises MessageError.
+        """Handle a call-back that reached the other process; raises MessageError if it is malformed.
 
-        It may have been sent here while its job went the other way: then it goes after it.
+        If its job was passed to the other process in the meantime, the call-back is forwarded there again.
         """
-        if wrong := fault(state, rest):
-            raise MessageError(wrong)
-        if between := self._between(identity):
-            return between.hold((identity, sender, state, rest))
-        if identity in self._parted:
-            return self._successor.pass_call_back(identity, sender, state, rest)
+        if problem := fault(state, rest):
+            raise MessageError(problem)
+        if undecided := self._undecided(identity):
+            return undecided.defer((identity, sender, state, rest))
+        if identity in self._passed_ids:
+            return self._successor.forward_call_back(identity, sender, state, rest)
         self._workers.call_back(identity, sender, state, rest)
         return None
 
     def adopt(self, given: Detached) -> None:
-        """Serve a connection from now on."""
+        """Serve a connection that was passed on, or that this process has detached and keeps."""
         try:
             self._server.adopt(given)
-        except OSError:  # it has broken on the way
+        except OSError:  # the connection broke in transit
             with suppress(OSError):
                 given.sock.close()
 
-    def other_holds(self, holds: Holds) -> None:
-        """Leave room for what the other process still has open: the bounds hold for both together."""
-        self._server.elsewhere, self._workers.pool.elsewhere = holds.clients, holds.workers
-        known = ((self._watch.number(uid), out) for uid, out in holds.attempts.items())
+    def set_other_open_work(self, open_work: OpenWork) -> None:
+        """Count the other process's connections and attempts here too: the limits hold for both together.
+
+        The ids that the other process has accepted are remembered as used.
+        """
+        self._server.elsewhere, self._workers.pool.elsewhere = (
+            open_work.client_connections, open_work.worker_connections)
+        known = ((self._watch.number(uid), out) for uid, out in open_work.attempts.items())
         self._scheduler.elsewhere({number: out for number, out in known if number is not None})
-        self._scheduler.remember(holds.taken)
+        self._scheduler.remember(open_work.new_ids)
+
 
+async def ask_predecessor(config: Config, path: str) -> tuple[Config, HandoverTarget | None]:
+    """Ask a process that serves at the configured address to be replaced.
 
-async def ask(given: Config, path: str) -> tuple[Config, HandoverTarget | None]:
-    """Ask a process that serves at our address to leave it to us; with it comes its list of workers."""
+    Returns the configuration with that process's list of workers, and the hand-over to commit; the
+    configuration as it is and None if there is no such process or it refuses.
+    """
     predecessor = HandoverTarget()
     try:
-        if not await predecessor.ask(path, written(given.listen)):
-            return given, None
+        if not await predecessor.request_offer(path, written(config.listen)):
+            return config, None
     except (HandoverError, MessageError) as error:
         log.warning("handover_refused", reason=str(error))
-        predecessor.drop()
-        return given, None
-    told = predecessor.body.get("told")
-    if isinstance(told, dict) and given.discovery:
-        # Version 0: the other process had moved to its discovery and not been told a list there yet.
-        same = predecessor.body.get("discovery") == written(given.discovery) and bool(told.get("rev"))
-        given = replace(given, known=told, known_elsewhere=not same)
-    return given, predecessor
+        predecessor.abandon()
+        return config, None
+    told = predecessor.offer_body.get("told")
+    if isinstance(told, dict) and config.discovery:
+        # Revision 0: the predecessor had switched to its present discovery and had no list from it yet.
+        same_discovery = (
+            predecessor.offer_body.get("discovery") == written(config.discovery) and bool(told.get("rev")))
+        config = replace(config, known=told, known_elsewhere=not same_discovery)
+    return config, predecessor
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,7 +16,7 @@
 from hazellead.__main__ import Program
 from hazellead.gearman.packets import Packet, Parser, Type, write
 from hazellead.limits import Limits
-from hazellead.operators import load
+from hazellead.operator_config import load
 
 ROOT = Path(__file__).parents[1]
 STEADY = settings(max_examples=50, stateful_step_count=30)
--- a/tests/test_channel_end.py
+++ b/tests/test_channel_end.py
@@ -22,7 +22,7 @@
 from test_program import program
 
 from hazellead.lifecycle.channel import Channel
-from hazellead.lifecycle.messages import Message, Reader, encode
+from hazellead.lifecycle.messages import FrameReader, Message, encode
 from hazellead.net import http
 
 HOST = "127.0.0.1"
@@ -59,7 +59,7 @@
     """A serving process that is replaced, written from the steps of the hand-over, message by message."""
 
     def __init__(self, path: Path, port: int) -> None:
-        self.port, self.reader = port, Reader()
+        self.port, self.reader = port, FrameReader()
         self.listener = socket.create_server((HOST, port))
         self.door = socket.socket(socket.AF_UNIX)
         self.door.bind(str(path))
@@ -172,7 +172,7 @@
             path = str(tmp_path / f"hazellead-{port}.sock")
             await until(lambda: os.path.exists(path))
             reader, writer = await asyncio.open_unix_connection(path)
-            messages, kinds = Reader(), list[str]()
+            messages, kinds = FrameReader(), list[str]()
 
             async def step(kind: str, answer: str, **body: Any) -> None:
                 writer.write(encode(Message(kind, body)))
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -8,7 +8,7 @@
 from loopback import HttpWorker, free_port, http_post, run, until
 from test_program import HEADERS, get, program
 
-from hazellead.console.figures import Figures, Gauges
+from hazellead.console.metrics import Gauges, Metrics
 
 
 async def ask(port: int, target: str = "/admin/stats", method: str = "GET") -> tuple[int, str]:
@@ -26,14 +26,14 @@
 
 
 def test_the_figures_have_their_form_and_odd_class_names_cannot_break_it() -> None:
-    figures = Figures()
-    figures.serve(["post-payment", "a:1|c\nsvc.x"])
-    figures.ended("post-payment", "success")
-    figures.ended("refund", "overload")
-    figures.dispatched()
-    figures.reloaded(taken=True)
-    figures.reloaded(taken=False)
-    lines = figures.text(Gauges(14, 8, 2)).splitlines()
+    metrics = Metrics()
+    metrics.add_classes(["post-payment", "a:1|c\nsvc.x"])
+    metrics.ended("post-payment", "success")
+    metrics.ended("refund", "overload")
+    metrics.dispatched()
+    metrics.count_reload(accepted=True)
+    metrics.count_reload(accepted=False)
+    lines = metrics.render(Gauges(14, 8, 2)).splitlines()
     assert {"svc.replies.post-payment.success:1|c", "svc.replies.post-payment.error:0|c",
             "svc.replies.refund.overload:1|c", "svc.dispatches:1|c", "svc.reload_success:1|c",
             "svc.reload_failure:1|c", "svc.concurrent:14|g", "svc.targets:8|g",
--- a/tests/test_gearman_front.py
+++ b/tests/test_gearman_front.py
@@ -21,7 +21,7 @@
 )
 
 from hazellead.gearman.packets import Type, write
-from hazellead.operators import load
+from hazellead.operator_config import load
 from hazellead.platform.config import ConfigError
 
 FINAL = (Type.WORK_COMPLETE, Type.WORK_FAIL)
--- a/tests/test_gearman_parts.py
+++ b/tests/test_gearman_parts.py
@@ -20,7 +20,7 @@
 from hazellead.gearman.packets import ARGUMENTS, Packet, PacketError, Parser, Type, write
 from hazellead.lab.time import VirtualTime
 from hazellead.limits import Limits
-from hazellead.operators import load
+from hazellead.operator_config import load
 from hazellead.platform.config import ConfigError, Names
 
 WORDS = st.binary(max_size=40).map(lambda b: b.replace(b"\0", b""))
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -26,9 +26,9 @@
 from hazellead.decide.choice import Dispatcher
 from hazellead.decide.known import Estimate, Known, KnownWorker
 from hazellead.decide.records import OWN
-from hazellead.lifecycle import state
+from hazellead.lifecycle import knowledge
 from hazellead.lifecycle.channel import Channel
-from hazellead.lifecycle.messages import Message, MessageError, Reader, encode
+from hazellead.lifecycle.messages import FrameReader, Message, MessageError, encode
 from hazellead.net import http
 
 TENANTS = [t["name"] for t in SETTINGS["tenants"]]
@@ -196,7 +196,7 @@
             path = str(tmp_path / f"hazellead-{port}.sock")
             await until(lambda: os.path.exists(path))
             reader, writer = await asyncio.open_unix_connection(path)
-            messages = Reader()
+            messages = FrameReader()
 
             async def said() -> list[str]:
                 return [m.kind for m in messages.feed(await asyncio.wait_for(reader.read(1 << 20), 5))]
@@ -327,7 +327,7 @@
     some: list[tuple[str, Any, int]], data: st.DataObject,
 ) -> None:
     sent = [Message(kind, body, count) for kind, body, count in some]
-    stream, reader, got = b"".join(map(encode, sent)), Reader(), []
+    stream, reader, got = b"".join(map(encode, sent)), FrameReader(), []
     while stream:
         cut = data.draw(st.integers(1, len(stream)))
         got += reader.feed(stream[:cut])
@@ -337,13 +337,13 @@
 
 @examples(st.binary(min_size=5, max_size=200))
 def test_garbage_is_refused_or_waited_for_and_never_more(garbage: bytes) -> None:
-    reader = Reader()
+    reader = FrameReader()
     with suppress(MessageError):
         for message in reader.feed(garbage):
             assert isinstance(message.kind, str)
     for wrong in (b"\x00\x00\x00\x02\x00[]", b"\xff\xff\xff\xff\x00", b"\x00\x00\x00\x02\xff{}"):
         with pytest.raises(MessageError):
-            list(Reader().feed(wrong))
+            list(FrameReader().feed(wrong))
 
 
 def test_knowledge_crosses_by_name_and_what_is_malformed_is_refused() -> None:
@@ -351,17 +351,17 @@
     e = Estimate(1.5, 3.0, 77)
     workers = KnownWorker(1, 5, pace=e, own=tuple(range(len(OWN)))), KnownWorker(2, 6, broke=e)
     known = Known(workers, (e, Estimate(2.0)), (Estimate(3.0, 1.0, 1),), e, (2.5,))
-    body = json.loads(json.dumps(state.write(
+    body = json.loads(json.dumps(knowledge.encode(
         known, lambda n: {v: k for k, v in here.items()}[n], ["a", "b"], ["t"])))
-    got = state.read(body, {"s-2": 9}.get, ["b", "new", "a"], ["u", "t"])
+    got = knowledge.decode(body, {"s-2": 9}.get, ["b", "new", "a"], ["u", "t"])
     assert [w.worker for w in got.workers] == [9] and got.workers[0].broke == e
     assert got.runs == (Estimate(2.0), Estimate(), e) and got.tokens == (0.0, 2.5)
     assert got.demand == (Estimate(), Estimate(3.0, 1.0, 1))
-    assert state.read(body, here.get, ["a", "b"], ["t"]) == known
+    assert knowledge.decode(body, here.get, ["a", "b"], ["t"]) == known
     for key in body:
         for wrong in (None, 1, [1], {"a": "x", "t": "x"}, [{"uid": "s-1"}]):
             with pytest.raises(MessageError):
-                state.read(body | {key: wrong}, here.get, ["a", "b"], ["t"])
+                knowledge.decode(body | {key: wrong}, here.get, ["a", "b"], ["t"])
 
 
 def test_a_successor_goes_on_with_the_caution_of_the_process_before() -> None:
@@ -379,8 +379,8 @@
     assert old.avoided() == {errs} and old.workers[errs].failures > 2
     new.handle(now + 20_000, [fleet(4)])
     name, number = {n: f"s-{n}" for n in old.workers}, {f"s-{n}": n for n in old.workers}
-    body = json.loads(json.dumps(state.write(old.known(), name.__getitem__, ["a"], ["t"])))
-    new.learn(state.read(body, number.get, ["a"], ["t"]))
+    body = json.loads(json.dumps(knowledge.encode(old.known(), name.__getitem__, ["a"], ["t"])))
+    new.learn(knowledge.decode(body, number.get, ["a"], ["t"]))
     for field in OWN:
         assert getattr(new.workers[errs], field) == getattr(old.workers[errs], field), field
     assert new.avoided() == {errs}
@@ -391,7 +391,7 @@
     after = Dispatcher(site, 3)
     after.handle(now + 24_000, [fleet(4)])
     assert after.tenants[0].throttle.tokens > 0 == old.tenants[0].throttle.tokens
-    after.learn(state.read(json.loads(json.dumps(state.write(
+    after.learn(knowledge.decode(json.loads(json.dumps(knowledge.encode(
         old.known(), name.__getitem__, ["a"], ["t"]))), number.get, ["a"], ["t"]))
     assert after.tenants[0].throttle.tokens == 0, "a burst let through for a second time"
 
@@ -463,9 +463,9 @@
         b = Channel(other, taker, lambda reason: None)
         a.send("connections", [socket.socket()])
         a.send("left")
-        assert a.waiting == 2 and a.open
+        assert a.unsent == 2 and a.open
         await until(lambda: got == [1, 0])
-        assert stingy.refused == 3 and not a.waiting
+        assert stingy.refused == 3 and not a.unsent
         a.close()
         b.close()
 
@@ -476,6 +476,6 @@
     d = Dispatcher(BASE, 1)
     d.handle(1_000_000, [fleet(1024)])
     names = {f"s-{n:032x}": n for n in range(1, 1025)}
-    body = state.write(d.known(), "s-{:032x}".format, [""], [""])
-    (got,) = Reader().feed(encode(Message("offer", {"known": body})))
-    assert len(state.read(got.body["known"], names.get, [""], [""]).workers) == 1024
+    body = knowledge.encode(d.known(), "s-{:032x}".format, [""], [""])
+    (got,) = FrameReader().feed(encode(Message("offer", {"known": body})))
+    assert len(knowledge.decode(got.body["known"], names.get, [""], [""]).workers) == 1024
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -10,7 +10,7 @@
 from loopback import STEADY, HttpWorker, free_port, http_message, http_post, run, until
 from test_program import HEADERS, get, program
 
-from hazellead.lifecycle.machine import LifeCycle, Phase
+from hazellead.lifecycle.phases import LifeCycle, Phase
 from hazellead.limits import Limits
 from hazellead.net import http
 
@@ -56,7 +56,7 @@
     @rule()
     def hang_up(self) -> None:
         was = self.life.phase, self.life.up, self.life.takes_jobs(self.now)
-        self.life.repace(LIMITS)  # what SIGHUP may bring
+        self.life.set_limits(LIMITS)  # what SIGHUP may bring
         assert was == (self.life.phase, self.life.up, self.life.takes_jobs(self.now))
 
     @rule()
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -28,7 +28,7 @@
 from hazellead.lifecycle import channel
 from hazellead.lifecycle.channel import Channel
 from hazellead.lifecycle.messages import Message, MessageError
-from hazellead.lifecycle.passing import Batches, PassedJob
+from hazellead.lifecycle.passed_jobs import PassedJob, PendingBatch
 
 LONG = 60_000_000  # microseconds: longer than a process that ends may take
 HOURS = SETTINGS | {"requestClasses": [
@@ -375,7 +375,7 @@
     async def serve(self, start: Any) -> Any:
         """Let the program replace this one; return its process."""
         listening = socket.create_server(("127.0.0.1", self.site.port))
-        door, told = channel.bind(self.site.path), asyncio.get_running_loop().create_future()
+        door, told = channel.listen_at(self.site.path), asyncio.get_running_loop().create_future()
 
         def knock() -> None:
             sock, _ = door.accept()
@@ -405,7 +405,7 @@
     kind = api.JobClass(**(rules | {"effect": api.Effect.UNSAFE}))
     job = Job(identity, f"/{KIND}", b"body", 0, 0, span(LONG), function=KIND, class_name=KIND)
     attempts = (OpenAttempt(worker, span(5000), span(LONG), None, None),)
-    return PassedJob(OpenJob(job, kind, TENANTS[0], span(LONG), attempts), b"", True, True).body() | more
+    return PassedJob(OpenJob(job, kind, TENANTS[0], span(LONG), attempts), b"", True, True).to_body() | more
 
 
 @site_test
@@ -472,28 +472,28 @@
 @examples(st.sampled_from(sorted(passed("a"))), JSON)
 def test_a_job_with_any_part_exchanged_is_read_or_refused(key: str, value: Any) -> None:
     body = json.loads(json.dumps(passed("a")))
-    assert PassedJob.read_from(body, 1000).body() == body
+    assert PassedJob.from_body(body, 1000).to_body() == body
     with suppress(MessageError):
-        read_again = PassedJob.read_from(body | {key: value}, 1000)
-        assert read_again == PassedJob.read_from(read_again.body(), 1000)
+        read_again = PassedJob.from_body(body | {key: value}, 1000)
+        assert read_again == PassedJob.from_body(read_again.to_body(), 1000)
     del body[key]
     with pytest.raises(MessageError):
-        PassedJob.read_from(body, 1000)
+        PassedJob.from_body(body, 1000)
 
 
 def test_a_body_over_the_bound_is_refused() -> None:
     with pytest.raises(MessageError):
-        PassedJob.read_from(passed("a"), 2)
+        PassedJob.from_body(passed("a"), 2)
 
 
 def test_a_word_on_another_batch_says_nothing_of_the_one_that_is_held() -> None:
-    batches = Batches[str]()
-    assert batches.begin({"a": "A", "b": "B"}) == [] and batches.number == 1 and batches.busy
-    assert batches.settle(2, ["a"]) == ([], []) and batches.busy
-    assert batches.settle(1, ["b", "z"]) == (["B"], ["A"]) and not batches.busy
-    assert batches.settle(1, ["a"]) == ([], [])
-    batches.begin({"c": "C"}, 9)
-    assert batches.begin({"d": "D"}) == ["C"] and batches.number == 10 and batches.void() == ["D"]
+    batch = PendingBatch[str]()
+    assert batch.start({"a": "A", "b": "B"}) == [] and batch.number == 1 and batch.pending
+    assert batch.settle(2, ["a"]) == ([], []) and batch.pending
+    assert batch.settle(1, ["b", "z"]) == (["B"], ["A"]) and not batch.pending
+    assert batch.settle(1, ["a"]) == ([], [])
+    batch.start({"c": "C"}, 9)
+    assert batch.start({"d": "D"}) == ["C"] and batch.number == 10 and batch.clear() == ["D"]
 
 
 def test_a_class_and_a_tenant_of_other_settings_are_numbered_apart_and_listed_nowhere() -> None:
--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -25,7 +25,7 @@
 from hazellead.decide.known import Estimate, Known, KnownWorker
 from hazellead.learning.door import Names
 from hazellead.learning.facts import Topic
-from hazellead.operators import load
+from hazellead.operator_config import load
 from hazellead.peers.config import PeersConfig, read
 from hazellead.peers.messages import HEADER, MAGIC, Hello, encode
 from hazellead.peers.service import PeerService
