--- a/hazellead/lifecycle/handover.py
+++ b/hazellead/lifecycle/handover.py
@@ -100,7 +100,8 @@
         if message.kind == "call_back":
             number = message.number("number")
             identity, sender, state = (message.text(key) for key in ("id", "sender", "state"))
-            answer = self.handler.take_call_back(identity, sender, state, message.body.get("rest"))
+            answer = self.handler.handle_forwarded_call_back(
+                identity, sender, state, message.body.get("rest"))
             if answer is None:
                 self._send("answered", number=number, status=200)
             else:
--- a/hazellead/lifecycle/handover_roles.py
+++ b/hazellead/lifecycle/handover_roles.py
@@ -45,7 +45,7 @@
 class HandoverHandler(Protocol):
     """Acts in either process on the messages of the other."""
 
-    def take_call_back(
+    def handle_forwarded_call_back(
         self, identity: str, sender: str, state: str, rest: Any,
     ) -> "asyncio.Future[int] | None":
         """Handle a call-back that reached the other process; raises MessageError if it is malformed.
@@ -53,7 +53,7 @@
         The future yields the status to answer with; None means 200 at once.
         """
 
-    def adopt(self, given: Detached) -> None:
+    def adopt(self, detached: Detached) -> None:
         """Serve a connection that the other process has passed on."""
 
     def set_other_open_work(self, open_work: OpenWork) -> None:
@@ -110,7 +110,7 @@
 class NullHandler:
     """Handler of a new process that cannot act yet: drops messages and refuses jobs."""
 
-    def take_call_back(self, identity: str, sender: str, state: str, rest: Any) -> None:
+    def handle_forwarded_call_back(self, identity: str, sender: str, state: str, rest: Any) -> None:
         """Ignore the call-back."""
 
     def read_job(self, body: Any) -> PassedJob:
@@ -129,9 +129,9 @@
     def other_process_ended(self) -> None:
         """Do nothing: no job is being passed."""
 
-    def adopt(self, given: Detached) -> None:
+    def adopt(self, detached: Detached) -> None:
         """Close the connection."""
-        given.sock.close()
+        detached.sock.close()
 
     def set_other_open_work(self, open_work: OpenWork) -> None:
         """Ignore the report."""
--- a/hazellead/lifecycle/phases.py
+++ b/hazellead/lifecycle/phases.py
@@ -17,7 +17,7 @@
 
 
 class LifeCycle:
-    """State machine over ``Phase``. Each transition returns whether it changed anything, and may be repeated."""
+    """State machine over ``Phase``. Each transition returns whether it changed anything; repeats are safe."""
 
     def __init__(self, limits: Limits, now: datetime) -> None:
         """Begin in the phase STARTING."""
--- a/hazellead/platform/handover.py
+++ b/hazellead/platform/handover.py
@@ -342,7 +342,7 @@
     def _undecided(self, identity: str) -> _UndecidedJob | None:
         return self._parked.jobs.get(identity) or self._reserved.jobs.get(identity)
 
-    def take_call_back(
+    def handle_forwarded_call_back(
         self, identity: str, sender: str, state: str, rest: Any,
     ) -> "asyncio.Future[int] | None":
         """Handle a call-back that reached the other process; raises MessageError if it is malformed.
@@ -358,13 +358,13 @@
         self._workers.call_back(identity, sender, state, rest)
         return None
 
-    def adopt(self, given: Detached) -> None:
+    def adopt(self, detached: Detached) -> None:
         """Serve a connection that was passed on, or that this process has detached and keeps."""
         try:
-            self._server.adopt(given)
+            self._server.adopt(detached)
         except OSError:  # the connection broke in transit
             with suppress(OSError):
-                given.sock.close()
+                detached.sock.close()
 
     def set_other_open_work(self, open_work: OpenWork) -> None:
         """Count the other process's connections and attempts here too: the limits hold for both together.
--- a/tests/test_channel_end.py
+++ b/tests/test_channel_end.py
@@ -1,11 +1,11 @@
-"""What one process has passed on arrives, though it ends before the other has read it.
-
-In one of 50 runs of two replacements under load a client's connection ended without an answer. A process that
-ends passes its clients' connections on, closes the channel and exits. The new one passes call-backs that it
-has no attempt for to the old one. Where such a write came after the close and before all was read, it failed
-with EPIPE, and the new process closed its end: the messages still unread went, with the connections in them.
-Evidence: the log of that test says ``predecessor_ended reason="cannot write: Broken pipe"`` in 2 of 12
-hand-overs; the test below that brings the order about lost 8 of 8 connections each time.
+"""Messages of a process that has ended are still read, and unsent connections are served by their process.
+
+In one of 50 runs of two replacements under load a client's connection was closed without an answer. A
+process that ends passes its connections on, closes the channel and exits; the new process forwards
+call-backs for which it has no attempt to the old one. If it wrote such a call-back after the close and before
+it had read everything, the write failed with EPIPE and it closed its end: the unread messages were lost, with
+the connections in them. The log of that test had ``predecessor_ended reason="cannot write: Broken pipe"`` in
+2 of 12 hand-overs; the test below that forces this order lost 8 of 8 connections each time.
 """
 
 import asyncio
@@ -29,21 +29,21 @@
 
 
 @pytest.mark.parametrize("writes", [0, 1, 3])
-def test_messages_and_descriptors_of_an_end_that_has_closed_are_read_before_the_channel_ends(
+def test_messages_and_descriptors_are_read_after_the_other_side_has_closed(
     writes: int,
 ) -> None:
     async def case() -> None:
         one, other = socket.socketpair()
         got: list[tuple[Message, list[socket.socket]]] = []
         ends: list[str] = []
-        passing = Channel(one, lambda message, sockets: None, lambda reason: None)
-        taking = Channel(other, lambda *message: got.append(message), ends.append)
+        sender = Channel(one, lambda message, sockets: None, lambda reason: None)
+        receiver = Channel(other, lambda *message: got.append(message), ends.append)
         pairs = [socket.socketpair() for _ in range(5)]
         for near, _ in pairs:
-            passing.send("connections", [near])
-        passing.close()
-        for _ in range(writes):  # as a call-back that is for the other process, before anything was read
-            taking.send("call_back")
+            sender.send("connections", [near])
+        sender.close()
+        for _ in range(writes):  # like a forwarded call-back, before anything is read
+            receiver.send("call_back")
         await until(lambda: ends)
         assert len(got) == len(pairs), f"{len(got)} of {len(pairs)} messages came"
         for (_, [sock]), (_, far) in zip(got, pairs, strict=True):
@@ -56,27 +56,27 @@
 
 
 class EndingPredecessor:
-    """A serving process that is replaced, written from the steps of the hand-over, message by message."""
+    """A test double of a process that is replaced and ends: sends its messages one by one."""
 
     def __init__(self, path: Path, port: int) -> None:
         self.port, self.reader = port, FrameReader()
         self.listener = socket.create_server((HOST, port))
-        self.door = socket.socket(socket.AF_UNIX)
-        self.door.bind(str(path))
-        self.door.listen()
+        self.unix_listener = socket.socket(socket.AF_UNIX)
+        self.unix_listener.bind(str(path))
+        self.unix_listener.listen()
         self.messages: list[Message] = []
 
     async def _expect(self, kind: str) -> None:
         loop = asyncio.get_running_loop()
         while not any(m.kind == kind for m in self.messages):
-            data = await asyncio.wait_for(loop.run_in_executor(None, self.line.recv, 1 << 20), 10)
+            data = await asyncio.wait_for(loop.run_in_executor(None, self.channel.recv, 1 << 20), 10)
             assert data, f"ended before {kind}"
             self.messages += self.reader.feed(data)
 
     async def hand_over(self) -> None:
-        """Take part until the new process serves."""
+        """Exchange messages until the new process serves."""
         loop = asyncio.get_running_loop()
-        self.line, _ = await asyncio.wait_for(loop.run_in_executor(None, self.door.accept), 10)
+        self.channel, _ = await asyncio.wait_for(loop.run_in_executor(None, self.unix_listener.accept), 10)
         await self._expect("hello")
         self.send("offer", [self.listener], version=1, known=None, told=None, discovery="")
         await self._expect("ready")
@@ -87,10 +87,10 @@
         frame = encode(Message(kind, body, len(sockets)))
         rights = [(socket.SOL_SOCKET, socket.SCM_RIGHTS, b"".join(
             s.fileno().to_bytes(4, "little") for s in sockets))] if sockets else []
-        assert self.line.sendmsg([frame], rights) == len(frame)
+        assert self.channel.sendmsg([frame], rights) == len(frame)
 
     def close(self) -> None:
-        for sock in (self.line, self.door, self.listener):
+        for sock in (self.channel, self.unix_listener, self.listener):
             sock.close()
 
 
@@ -104,10 +104,10 @@
     "POST", "/v1/job-events", "x", {}, b'{"id":"none","from":"s-1","state":"done","result":""}')
 
 
-def test_connections_passed_by_a_process_that_has_ended_are_answered_though_call_backs_come_first(
+def test_connections_passed_on_by_an_ended_process_are_answered_even_if_call_backs_come_first(
     tmp_path: Path,
 ) -> None:
-    """The new process is held up (SIGSTOP) while the old one passes connections on and ends."""
+    """The new process is stopped (SIGSTOP) while the old one passes connections on and ends."""
     async def case() -> None:
         port = free_port()
         folder = tmp_path / "new"
@@ -117,10 +117,10 @@
         async with worker.serving(), program(
                 folder, port, worker, console=f"{HOST}:{free_port()}") as new:
             await serving
-            calling, call_back = await asyncio.open_connection(HOST, port)
-            call_back.write(CALL_BACK)
-            answered = asyncio.ensure_future(http_message(calling))
-            await old._expect("call_back")  # it passes such a call-back on
+            worker_reader, worker_writer = await asyncio.open_connection(HOST, port)
+            worker_writer.write(CALL_BACK)
+            answered = asyncio.ensure_future(http_message(worker_reader))
+            await old._expect("call_back")  # the new process forwards it
             old.send("answered", [], number=1, status=200)
             await answered
 
@@ -128,8 +128,8 @@
             for _ in range(8):
                 clients.append(await asyncio.open_connection(*accepted.getsockname()))
             os.kill(new.pid, signal.SIGSTOP)
-            for _ in range(3):  # are there first when the process goes on
-                call_back.write(CALL_BACK)
+            for _ in range(3):  # waiting when the process continues
+                worker_writer.write(CALL_BACK)
             await asyncio.sleep(0.1)
             for n, (_, writer) in enumerate(clients):
                 sock, _ = accepted.accept()
@@ -150,20 +150,20 @@
             lost = [r for r in results if isinstance(r, BaseException)]
             assert not lost, f"{len(lost)} of {len(clients)} connections ended without an answer"
             assert set(results) <= {200, 429}
-            call_back.close()
+            worker_writer.close()
 
     run(case())
 
 
 PASSED_AT_ONCE = 32  # connections in one message
-HEAD = 14_000  # bytes of a request's head that have come: 32 of them do not fit into a channel's buffer
+HEAD = 14_000  # bytes already received of a request's head: 32 of them do not fit into a channel's buffer
 
 
-def test_connections_not_yet_written_to_a_successor_that_dies_stay_with_their_process(tmp_path: Path) -> None:
-    """A successor reads nothing and dies. What was written to it is lost with it; the rest is still answered.
+def test_connections_not_sent_to_a_successor_that_dies_are_served_by_the_old_process(tmp_path: Path) -> None:
+    """A successor reads nothing and dies: connections written to it are lost, the others are still answered.
 
-    Before, the channel closed the connections that waited to be written, with a part of a request read: 0 of
-    28 were answered.
+    The channel used to close the connections that waited to be written, with part of a request read from
+    them: 0 of 28 were answered.
     """
     async def case() -> None:
         port, worker = free_port(), HttpWorker("s-1", Counter[bytes](), lambda: port)
@@ -183,18 +183,20 @@
 
             await step("hello", "offer", version=1, listen=f"{HOST}:{port}")
             clients = [await asyncio.open_connection(HOST, port) for _ in range(60)]
-            for n, (_, line) in enumerate(clients):
-                line.write(request(n).partition(b"\r\n\r\n")[0] + b"\r\nX-Fill: " + b"x" * HEAD)
+            for n, (_, client_writer) in enumerate(clients):
+                client_writer.write(request(n).partition(b"\r\n\r\n")[0] + b"\r\nX-Fill: " + b"x" * HEAD)
             await asyncio.sleep(0.2)
             await step("ready", "commit")
             writer.write(encode(Message("started", {})))
-            await asyncio.sleep(0.3)  # with nothing read any more
+            await asyncio.sleep(0.3)  # the successor reads nothing more
             writer.transport.abort()
             await asyncio.sleep(0.2)
 
-            async def answered(n: int, reader: asyncio.StreamReader, line: asyncio.StreamWriter) -> bool:
+            async def answered(
+                n: int, reader: asyncio.StreamReader, client_writer: asyncio.StreamWriter,
+            ) -> bool:
                 try:
-                    line.write(b"\r\n\r\n%d" % n)
+                    client_writer.write(b"\r\n\r\n%d" % n)
                     return bool(await http_message(reader))
                 except (OSError, asyncio.IncompleteReadError):
                     return False
--- a/tests/test_console.py
+++ b/tests/test_console.py
@@ -1,4 +1,4 @@
-"""The console: its calls, its figures against what stand-ins counted, and its room beside bad callers."""
+"""The console: its calls, its metrics against what test doubles counted, and its limits on bad callers."""
 
 import asyncio
 import re
@@ -12,7 +12,7 @@
 
 
 async def ask(port: int, target: str = "/admin/stats", method: str = "GET") -> tuple[int, str]:
-    """Make one call and read to the end of the connection."""
+    """Make one call and read to the end of the connection; return the status and the body."""
     reader, writer = await asyncio.open_connection("127.0.0.1", port)
     writer.write(f"{method} {target} HTTP/1.1\r\nHost: c\r\n\r\n".encode())
     head, _, body = (await asyncio.wait_for(reader.read(), 5)).decode().partition("\r\n\r\n")
@@ -20,12 +20,12 @@
     return int(head.split()[1]), body
 
 
-def read(text: str) -> dict[str, int]:
+def parse_metrics(text: str) -> dict[str, int]:
     assert re.fullmatch(r"(svc\.[\w.-]+:\d+\|[cg]\n)+", text)
     return {name: int(value) for name, value in re.findall(r"svc\.(\S+):(\d+)\|", text)}
 
 
-def test_the_figures_have_their_form_and_odd_class_names_cannot_break_it() -> None:
+def test_metrics_have_their_text_format_whatever_characters_a_class_name_has() -> None:
     metrics = Metrics()
     metrics.add_classes(["post-payment", "a:1|c\nsvc.x"])
     metrics.ended("post-payment", "success")
@@ -41,40 +41,41 @@
     assert len(lines) == len(set(lines)) == 15
 
 
-def test_figures_agree_with_what_clients_and_workers_counted(tmp_path: Path) -> None:
+def test_metrics_agree_with_what_clients_and_workers_counted(tmp_path: Path) -> None:
     async def case() -> None:
         port, console, count = free_port(), free_port(), Counter[bytes]()
         worker = HttpWorker("s-1", count, lambda: port)
         async with worker.serving(), program(tmp_path, port, worker, console=f"127.0.0.1:{console}"):
-            assert read((await ask(console))[1])["replies.post-payment.success"] == 0
+            assert parse_metrics((await ask(console))[1])["replies.post-payment.success"] == 0
             seen = Counter[int]()
             for i in range(6):
                 if i == 3:
                     worker.states = [{"state": "failed"}]
                 seen[(await http_post(port, "/post-payment", b"%d" % i, HEADERS.format(i)))[0]] += 1
             worker.states = [{"state": "started"}]
-            held = asyncio.ensure_future(http_post(port, "/post-payment", b"h", HEADERS.format("h")))
+            open_job = asyncio.ensure_future(http_post(port, "/post-payment", b"h", HEADERS.format("h")))
             await until(lambda: count[b"h"])
-            got = read((await ask(console))[1])
+            got = parse_metrics((await ask(console))[1])
             assert seen == {200: got["replies.post-payment.success"], 502: got["replies.post-payment.error"]}
             assert seen[200] == seen[502] == 3 and got["concurrent"] == 1 and got["targets"] == 1
-            assert got["dispatches"] == sum(count.values()) == 7 and got["targets_disabled"] == 1  # it failed
+            # The one worker is disabled for the jobs that it failed.
+            assert got["dispatches"] == sum(count.values()) == 7 and got["targets_disabled"] == 1
             assert await worker.call_back("h", state="done", result="") == 200
-            await held
-            assert read((await ask(console))[1])["concurrent"] == 0
+            await open_job
+            assert parse_metrics((await ask(console))[1])["concurrent"] == 0
 
     run(case())
 
 
-def test_calls_are_answered_beside_silent_callers_and_what_is_no_call_is_told_so(tmp_path: Path) -> None:
+def test_calls_are_answered_beside_silent_callers_and_unknown_calls_are_refused(tmp_path: Path) -> None:
     async def case() -> None:
         port, console = free_port(), free_port()
         async with program(tmp_path, port, console=f"127.0.0.1:{console}") as process:
-            async def crowd() -> None:
-                while True:  # clients that keep the scheduler's one loop busy
+            async def keep_loop_busy() -> None:
+                while True:
                     await asyncio.gather(*(get(port, "/up") for _ in range(40)))
 
-            busy = asyncio.ensure_future(crowd())
+            busy = asyncio.ensure_future(keep_loop_busy())
             silent = [await asyncio.open_connection("127.0.0.1", console) for _ in range(200)]
             for _, writer in silent[::2]:
                 writer.write(b"GET /admin/he")
@@ -84,14 +85,14 @@
                 assert asyncio.get_running_loop().time() - began < 1
                 await asyncio.sleep(0.3)
             busy.cancel()
-            assert await get(port, "/up") == 200  # clients' room is not touched
+            assert await get(port, "/up") == 200  # clients have connections of their own limit
             for status, target, method in ((404, "/admin", "GET"), (404, "/up", "GET"),
                                            (405, "/admin/stats", "PUT"), (405, "/admin/quiesce", "GET"),
                                            (400, "/admin/ stats", "GET")):
                 assert (await ask(console, target, method))[0] == status
-            assert (await ask(console, "/admin/resume", "PUT"))[0] == 200  # it is at work
+            assert (await ask(console, "/admin/resume", "PUT"))[0] == 200  # it is ready
             assert process.returncode is None
-            for reader, writer in silent:  # all are ended on a time limit
+            for reader, writer in silent:  # all are closed after a time limit
                 with_end = asyncio.wait_for(reader.read(), 4)
                 try:
                     await with_end
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from loopback import STEADY, HttpWorker, free_port, http_post, run, until
-from test_console import ask, read
+from test_console import ask, parse_metrics
 from test_program import HEADERS, SETTINGS, program
 
 from hazellead.core import generations
@@ -202,11 +202,11 @@
             worker.states = [{"state": "done"}]
             assert await post("refund", "3") == (200, b"posted 3") and (await post("v2", "4"))[0] == 200
             assert (await post("post-payment", "5"))[0] == 404
-            got = read((await ask(console))[1])
+            got = parse_metrics((await ask(console))[1])
             assert got["replies.refund.success"] == got["replies.v2.success"] == 1 and got["concurrent"] == 1
             assert got["reload_success"] == 1 and got["reload_failure"] >= 40 + len(BROKEN)
             assert await worker.call_back("1", state="done", result="r") == 200
             assert await held == (200, b"r")
-            assert read((await ask(console))[1])["replies.post-payment.success"] == 1
+            assert parse_metrics((await ask(console))[1])["replies.post-payment.success"] == 1
 
     run(case())
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life cycle in any order of calls, and a drain as clients see it."""
+"""The life cycle under any order of calls, and a drain as clients see it."""
 
 import asyncio
 from collections import Counter
@@ -19,15 +19,15 @@
 
 
 class Life(RuleBasedStateMachine):
-    """Every order of calls and pauses, against what the operators were promised."""
+    """Transitions and pauses in any order, checked against the documented behaviour."""
 
     def __init__(self) -> None:
         super().__init__()
         self.now = datetime(2026, 1, 1, tzinfo=UTC)
         self.life = LifeCycle(LIMITS, self.now)
-        self.emptied: datetime | None = None  # when it was last told to empty itself, if that holds
-        self.over: datetime | None = None  # when its end was called
-        self.left = False
+        self.drained_at: datetime | None = None  # when the drain in force began
+        self.ended_at: datetime | None = None  # when shutdown began
+        self.handed_over = False
 
     @rule(ms=st.sampled_from([1, 499, 501, 1300, 2600]))
     def wait(self, ms: int) -> None:
@@ -37,64 +37,66 @@
     def start(self) -> None:
         was = self.life.phase
         assert self.life.start(self.now) == (was is Phase.STARTING)
-        assert self.life.phase is not Phase.STARTING, "no way out of the start"
+        assert self.life.phase is not Phase.STARTING, "start did not leave STARTING"
 
     @rule()
     def quiesce(self) -> None:
         if self.life.quiesce(self.now):
             assert self.life.phase is Phase.QUIESCED
-            self.emptied = self.now
+            self.drained_at = self.now
         assert not self.life.quiesce(self.now), "repeating it changed something"
 
     @rule()
     def resume(self) -> None:
         if self.life.resume(self.now):
-            assert self.emptied and self.life.phase is Phase.READY
-            self.emptied = None
+            assert self.drained_at and self.life.phase is Phase.READY
+            self.drained_at = None
         assert not self.life.resume(self.now)
 
     @rule()
-    def hang_up(self) -> None:
+    def reload(self) -> None:
         was = self.life.phase, self.life.up, self.life.takes_jobs(self.now)
-        self.life.set_limits(LIMITS)  # what SIGHUP may bring
+        self.life.set_limits(LIMITS)  # as SIGHUP may do
         assert was == (self.life.phase, self.life.up, self.life.takes_jobs(self.now))
 
     @rule()
     def hand_over(self) -> None:
         if self.life.hand_over(self.now):
-            self.left, self.emptied = True, None
+            self.handed_over, self.drained_at = True, None
         assert not self.life.hand_over(self.now)
 
     @rule()
     def take_back(self) -> None:
-        assert self.life.take_back(self.now) == self.left
-        self.left = False
+        assert self.life.take_back(self.now) == self.handed_over
+        self.handed_over = False
 
     @rule()
     def end(self) -> None:
-        assert self.life.end(self.now) == (self.over is None)
-        self.over = self.over or self.now
+        assert self.life.end(self.now) == (self.ended_at is None)
+        self.ended_at = self.ended_at or self.now
         assert self.life.phase is Phase.ENDING
 
     @invariant()
-    def a_yes_is_only_said_while_jobs_are_taken_here_or_by_another(self) -> None:
+    def up_only_while_jobs_are_accepted_here_or_by_a_successor(self) -> None:
         if self.life.up:
-            assert self.left or (self.life.takes_jobs(self.now) and not self.emptied and not self.over)
+            assert self.handed_over or (
+                self.life.takes_jobs(self.now) and not self.drained_at and not self.ended_at)
         if self.life.healthy:
-            assert not self.over
+            assert not self.ended_at
 
     @invariant()
-    def none_is_taken_past_its_time(self) -> None:
+    def jobs_and_connections_end_in_time(self) -> None:
         takes, idle = self.life.takes_jobs(self.now), self.life.ends_idle(self.now)
-        if self.emptied and not self.over:
-            assert takes == (self.now - self.emptied < TAKE) and idle == (self.now - self.emptied >= SETTLE)
+        if self.drained_at and not self.ended_at:
+            assert takes == (self.now - self.drained_at < TAKE) and (
+                idle == (self.now - self.drained_at >= SETTLE))
             assert self.life.ends_connections(self.now)
-        if self.over:
-            assert not takes or self.now - self.over < SERVE
-            assert idle or takes or self.left, "connections that nothing will end"
-        if not (self.emptied or self.over):
+        if self.ended_at:
+            assert not takes or self.now - self.ended_at < SERVE
+            assert idle or takes or self.handed_over, "idle connections that nothing will close"
+        if not (self.drained_at or self.ended_at):
             assert takes and not idle
-        if self.left:  # connections are passed on, none is ended
+        if self.handed_over:  # connections are passed on, none is ended
             assert not idle and not self.life.ends_connections(self.now)
 
 
@@ -106,7 +108,7 @@
     return await get(port, f"/admin/{what}", "PUT")
 
 
-def test_a_drain_empties_the_scheduler_in_time_and_a_resume_brings_it_back(tmp_path: Path) -> None:
+def test_a_drain_empties_the_scheduler_in_time_and_a_resume_ends_it(tmp_path: Path) -> None:
     async def case() -> None:
         port, console, count = free_port(), free_port(), Counter[bytes]()
         worker = HttpWorker("s-1", count, lambda: port)
@@ -114,7 +116,7 @@
         async with worker.serving(), program(tmp_path, port, worker, console=f"127.0.0.1:{console}"):
             clock = asyncio.get_running_loop().time
             pairs = [await asyncio.open_connection("127.0.0.1", port) for _ in range(3)]
-            for reader, writer in pairs:  # an idle one, one that says nothing, one with a call-back on it
+            for reader, writer in pairs:  # an idle one, a silent one, a worker's with a call-back
                 if reader is not pairs[1][0]:
                     target = "/up" if reader is pairs[0][0] else "/v1/job-events"
                     body = b"" if target == "/up" else b'{"id":"9","from":"s","state":"done","result":""}'
@@ -126,9 +128,9 @@
             began = clock()
             assert await get(port, "/up") == 503 and await get(console, "/admin/health") == 200
             late = asyncio.ensure_future(http_post(port, "/post-payment", b"b", HEADERS.format("2")))
-            await until(lambda: count[b"b"])  # still taken
+            await until(lambda: count[b"b"])  # still accepted
             for reader, writer in pairs[:2]:
-                assert await reader.read() == b""  # ended without a reset
+                assert await reader.read() == b""  # closed without a reset
                 writer.close()
             assert 0.4 < clock() - began < 1
             await asyncio.sleep(began + 1.9 - clock())
@@ -139,7 +141,7 @@
                 assert await worker.call_back(identity, state="done", result="r") == 200
                 status, headers, body = await waiting
                 assert (status, body, headers["connection"]) == (200, b"r", "close")
-            reader, writer = pairs[2]  # a worker's connection has stayed
+            reader, writer = pairs[2]  # the worker's connection is still open
             writer.write(http.request("POST", "/v1/job-events", "x", {}, b"{"))
             assert (await http_message(reader))[0].endswith("400 Bad Request")
             writer.close()
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -1,4 +1,4 @@
-"""Open jobs that pass to the process that replaces theirs; partners that die, hang, garble or come late."""
+"""Open jobs that are passed to a successor; the other process may die, hang, garble or answer late."""
 
 import asyncio
 import json
@@ -16,7 +16,7 @@
 from hypothesis import settings
 from hypothesis import strategies as st
 from loopback import HttpWorker, free_port, http_message, http_post, run, until
-from test_console import ask, read
+from test_console import ask, parse_metrics
 from test_handover import TENANTS
 from test_program import SETTINGS, program
 
@@ -30,52 +30,53 @@
 from hazellead.lifecycle.messages import Message, MessageError
 from hazellead.lifecycle.passed_jobs import PassedJob, PendingBatch
 
-LONG = 60_000_000  # microseconds: longer than a process that ends may take
-HOURS = SETTINGS | {"requestClasses": [
-    row | {"hardLimitUs": LONG} for row in SETTINGS["requestClasses"]]}
-KIND = SETTINGS["requestClasses"][0]["name"]
+LONG_US = 60_000_000  # longer than a process may take to end
+LONG_SETTINGS = SETTINGS | {"requestClasses": [
+    row | {"hardLimitUs": LONG_US} for row in SETTINGS["requestClasses"]]}
+CLASS_NAME = SETTINGS["requestClasses"][0]["name"]
 
 
-class Quiet(HttpWorker):
-    """A worker that takes jobs, tells of their start, and ends them when the test says so."""
+class ManualWorker(HttpWorker):
+    """A worker that accepts jobs and reports their start; the test reports their end."""
 
-    def __init__(self, uid: str, postings: Counter[bytes], back: Any) -> None:
-        super().__init__(uid, postings, back)
+    def __init__(self, uid: str, postings: Counter[bytes], port: Any) -> None:
+        super().__init__(uid, postings, port)
         self.states = [{"state": "started"}]
 
-    def deleted(self) -> list[str]:
+    def cancelled_jobs(self) -> list[str]:
         return [r.split()[1] for r in self.requests if r.startswith("DELETE")]
 
 
 class Client:
-    """A client on a connection of its own, which it keeps."""
+    """A client with one connection of its own."""
 
     def __init__(self, port: int) -> None:
         self.port = port
 
-    async def ask(self, identity: str, body: bytes, more: bytes = b"") -> "Client":
+    async def post(self, identity: str, body: bytes, more: bytes = b"") -> "Client":
         self.reader, self.writer = await asyncio.open_connection("127.0.0.1", self.port)
         self.writer.write(request(identity, body) + more)
         return self
 
     async def answer(self, *, ending: bool = False) -> tuple[int, bytes]:
-        """Read an answer; that of a process which is ending may be the last on its connection."""
+        """Read an answer; return its status and body. Only an ``ending`` process may close the connection."""
         first, headers, body = await asyncio.wait_for(http_message(self.reader), 8)
         assert ending or headers.get("connection") != "close"
         return int(first.split()[1]), body
 
 
-def request(identity: str, body: bytes, left_ms: int = 50_000, kind: str = KIND) -> bytes:
-    return (f"POST /{kind} HTTP/1.1\r\nHost: x\r\nX-Trace-Id: {identity}\r\nX-Customer: {TENANTS[0]}\r\n"
-            f"X-Expires-In: {left_ms}m\r\nContent-Length: {len(body)}\r\n\r\n").encode() + body
+def request(identity: str, body: bytes, remaining_ms: int = 50_000, class_name: str = CLASS_NAME) -> bytes:
+    return (f"POST /{class_name} HTTP/1.1\r\nHost: x\r\nX-Trace-Id: {identity}\r\n"
+            f"X-Customer: {TENANTS[0]}\r\nX-Expires-In: {remaining_ms}m\r\n"
+            f"Content-Length: {len(body)}\r\n\r\n").encode() + body
 
 
 class Site:
-    """Workers, a scheduler with open jobs of minutes, and the clients that wait for them."""
+    """Workers, scheduler processes with open jobs that take minutes, and the clients that wait for them."""
 
     def __init__(self, folder: Path) -> None:
         self.folder, self.port, self.postings = folder, free_port(), Counter[bytes]()
-        self.workers = [Quiet(f"s-{i}", self.postings, lambda: self.port) for i in range(6)]
+        self.workers = [ManualWorker(f"s-{i}", self.postings, lambda: self.port) for i in range(6)]
         self.stack, self.consoles = AsyncExitStack(), list[int]()
 
     @asynccontextmanager
@@ -89,47 +90,47 @@
         self.consoles.append(free_port())
         return await self.stack.enter_async_context(program(
             self.folder / str(len(self.consoles)), self.port, *self.workers,
-            **({"console": f"127.0.0.1:{self.consoles[-1]}", "settings": HOURS} | more)))
+            **({"console": f"127.0.0.1:{self.consoles[-1]}", "settings": LONG_SETTINGS} | more)))
 
     async def open(self, *identities: str, more: bytes = b"") -> list[Client]:
-        some = []
+        clients = []
         for identity in identities:
-            some.append(await Client(self.port).ask(identity, identity.encode(), more))
+            clients.append(await Client(self.port).post(identity, identity.encode(), more))
             await until(lambda identity=identity: self.postings[identity.encode()])
-            await asyncio.sleep(0.02)  # for the 202 and the start: nothing is sent behind a job that waits
-        return some
+            await asyncio.sleep(0.02)  # for 202 and start: a worker where a job waits to start gets no other
+        return clients
 
-    def worker_of(self, identity: str) -> Quiet:
+    def worker_of(self, identity: str) -> ManualWorker:
         return next(w for w in self.workers if any(
             h.get("x-trace-id") == identity for h in w.headers))
 
-    async def say(self, identity: str, state: str, **more: Any) -> int:
+    async def report(self, identity: str, state: str, **more: Any) -> int:
         return await self.worker_of(identity).call_back(identity, state=state, **more)
 
     async def done(self, *identities: str) -> None:
         for identity in identities:
-            assert await self.say(identity, "done", result=f"r {identity}") == 200
+            assert await self.report(identity, "done", result=f"r {identity}") == 200
 
     @property
     def path(self) -> str:
         return str(self.folder / f"hazellead-{self.port}.sock")
 
-    async def figure(self, i: int, name: str) -> int:
-        return read((await ask(self.consoles[i]))[1])[name]
+    async def metric(self, i: int, name: str) -> int:
+        return parse_metrics((await ask(self.consoles[i]))[1])[name]
 
 
-class Partner:
-    """A process that replaces a scheduler, played by the test: it takes what it is told to."""
+class Successor:
+    """A test double of a successor: replaces a scheduler process and sends what the test says."""
 
-    def __init__(self, site: Site, *, takes: bool = True) -> None:
-        self.site, self.takes = site, takes
-        self.came: asyncio.Queue[tuple[Message, list[socket.socket]]] = asyncio.Queue()
+    def __init__(self, site: Site, *, takes_jobs: bool = True) -> None:
+        self.site, self.takes_jobs = site, takes_jobs
+        self.received: asyncio.Queue[tuple[Message, list[socket.socket]]] = asyncio.Queue()
         self.ended: list[str] = []
 
-    async def take_over(self) -> "Partner":
+    async def take_over(self) -> "Successor":
         sock = await channel.connect(self.site.path, 5)
-        self.channel = Channel(sock, lambda m, s: self.came.put_nowait((m, s)), self.ended.append)
-        hello = {"takes_jobs": True} if self.takes else {}
+        self.channel = Channel(sock, lambda m, s: self.received.put_nowait((m, s)), self.ended.append)
+        hello = {"takes_jobs": True} if self.takes_jobs else {}
         self.channel.send("hello", version=1, listen=f"127.0.0.1:{self.site.port}", **hello)
         _, self.listening = await self.next("offer")
         self.channel.send("ready")
@@ -139,7 +140,7 @@
 
     async def next(self, kind: str, seconds: float = 5) -> tuple[Message, list[socket.socket]]:
         async with asyncio.timeout(seconds):
-            while (found := await self.came.get())[0].kind != kind:
+            while (found := await self.received.get())[0].kind != kind:
                 self.drop(found[1])
         return found
 
@@ -153,19 +154,19 @@
 
 
 def site_test(case: Any) -> Any:
-    """Run a case with a site whose workers serve."""
+    """Turn a case into a test that runs it with a site whose workers serve."""
     def test(tmp_path: Path) -> None:
-        async def whole() -> None:
+        async def run_case() -> None:
             async with Site(tmp_path).running() as site:
                 await case(site)
 
-        run(whole())
+        run(run_case())
 
     test.__name__, test.__doc__ = case.__name__, case.__doc__
     return test
 
 
-# The whole program, replaced.
+# The whole program, replaced by another process of it.
 
 @site_test
 async def test_open_jobs_outlive_two_replacements_and_are_served_once_each(site: Site) -> None:
@@ -176,22 +177,22 @@
         new = await site.start()
         old.send_signal(signal.SIGTERM)
         assert await asyncio.wait_for(old.wait(), 5) == 0
-        assert await site.figure(i, "concurrent") == len(names)
+        assert await site.metric(i, "concurrent") == len(names)
         old = new
-        used = f"X-Trace-Id: j1\r\nX-Customer: {TENANTS[0]}\r\n"
-        assert (await http_post(site.port, f"/{KIND}", b"", used))[0] == 409
+        used_id = f"X-Trace-Id: j1\r\nX-Customer: {TENANTS[0]}\r\n"
+        assert (await http_post(site.port, f"/{CLASS_NAME}", b"", used_id))[0] == 409
     await site.done(*names)
     assert [await c.answer() for c in clients] == [(200, f"r {n}".encode()) for n in names]
-    assert set(site.postings.values()) == {1} and not any(w.deleted() for w in site.workers)
-    assert await site.figure(2, f"replies.{KIND}.success") == len(names)
-    assert await site.figure(2, "concurrent") == 0
-    # Their connections go on, and the ids stay used.
+    assert set(site.postings.values()) == {1} and not any(w.cancelled_jobs() for w in site.workers)
+    assert await site.metric(2, f"replies.{CLASS_NAME}.success") == len(names)
+    assert await site.metric(2, "concurrent") == 0
+    # Their connections stay open, and the ids stay used.
     clients[0].writer.write(request("j0", b"again"))
     assert (await http_message(clients[0].reader))[0].split()[1] == "409"
 
 
 @site_test
-async def test_what_a_client_does_after_its_job_has_passed_is_heeded(site: Site) -> None:
+async def test_a_client_may_close_or_reuse_its_connection_after_its_job_was_passed(site: Site) -> None:
     old = await site.start()
     stays, leaves = await site.open("stays", "leaves")
     (piped,) = await site.open("piped", more=request("next", b"next")[:40])
@@ -199,10 +200,10 @@
     old.send_signal(signal.SIGTERM)
     assert await asyncio.wait_for(old.wait(), 5) == 0
     leaves.writer.close()
-    await until(lambda: site.worker_of("leaves").deleted() == ["/jobs/leaves"])
+    await until(lambda: site.worker_of("leaves").cancelled_jobs() == ["/jobs/leaves"])
     await site.done("stays", "piped")
     assert await stays.answer() == (200, b"r stays") and await piped.answer() == (200, b"r piped")
-    piped.writer.write(request("next", b"next")[40:])  # the part that had come went with the connection
+    piped.writer.write(request("next", b"next")[40:])  # what came before was passed on, too
     await until(lambda: site.postings[b"next"])
     await site.done("next")
     assert await piped.answer() == (200, b"r next")
@@ -211,182 +212,186 @@
 @site_test
 async def test_a_job_keeps_its_rules_its_attempts_and_its_deadline_under_other_settings(site: Site) -> None:
     old = await site.start()
-    back, late = await site.open("back"), Client(site.port)
+    returned, late = await site.open("back"), Client(site.port)
     late.reader, late.writer = await asyncio.open_connection("127.0.0.1", site.port)
     late.writer.write(request("late", b"late", 6000))
     await until(lambda: site.postings[b"late"])
     await asyncio.sleep(0.05)
-    others = [row | {"name": f"other-{row['name']}"} for row in HOURS["requestClasses"]]
-    await site.start(settings=HOURS | {"requestClasses": others})
+    others = [row | {"name": f"other-{row['name']}"} for row in LONG_SETTINGS["requestClasses"]]
+    await site.start(settings=LONG_SETTINGS | {"requestClasses": others})
     old.send_signal(signal.SIGTERM)
     assert await asyncio.wait_for(old.wait(), 5) == 0
     first = site.worker_of("back")
-    assert await first.call_back("back", state="returned") == 200  # it never ran: it goes to another
+    assert await first.call_back("back", state="returned") == 200  # it never ran: another gets it
     await until(lambda: site.postings[b"back"] == 2)
     second = next(w for w in site.workers if w is not first and w.postings and any(
         h.get("x-trace-id") == "back" for h in w.headers))
     assert 30_000_000 < int(second.headers[-1]["x-expires-in"][:-1]) < 50_000_000
     assert await second.call_back("back", state="done", result="r") == 200
-    assert await back[0].answer() == (200, b"r")
-    # Its client's deadline is the new process's to keep: worker and client are told.
+    assert await returned[0].answer() == (200, b"r")
+    # The new process keeps the client's deadline: it answers the client and cancels the job at the worker.
     assert (await late.answer())[0] == 502
-    await until(lambda: site.worker_of("late").deleted() == ["/jobs/late"])
-    assert (await http_post(site.port, f"/{KIND}", b"", "X-Trace-Id: n\r\n"))[0] == 404  # no more taken
+    await until(lambda: site.worker_of("late").cancelled_jobs() == ["/jobs/late"])
+    # New jobs of the class are refused: it is not configured any more.
+    assert (await http_post(site.port, f"/{CLASS_NAME}", b"", "X-Trace-Id: n\r\n"))[0] == 404
 
 
-# Partners that fail the old process. Whatever they do, a job is served once or its client sees the end.
+# Successors that fail the old process: still, a job is served once or its client's connection is closed.
 
-async def _passing(site: Site, *identities: str, takes: bool = True) -> tuple[Any, list[Client], Partner]:
+async def _hand_over(
+    site: Site, *identities: str, takes_jobs: bool = True,
+) -> tuple[Any, list[Client], Successor]:
     old = await site.start()
     clients = await site.open(*identities)
-    partner = await Partner(site, takes=takes).take_over()
+    successor = await Successor(site, takes_jobs=takes_jobs).take_over()
     old.send_signal(signal.SIGTERM)
-    return old, clients, partner
+    return old, clients, successor
 
 
 async def _served_by_old(site: Site, old: Any, clients: list[Client], *identities: str) -> None:
     await site.done(*identities)
     assert [await c.answer(ending=True) for c in clients] == [(200, f"r {n}".encode()) for n in identities]
-    assert set(site.postings.values()) == {1} and not any(w.deleted() for w in site.workers)
+    assert set(site.postings.values()) == {1} and not any(w.cancelled_jobs() for w in site.workers)
     assert await asyncio.wait_for(old.wait(), 6) == 0
 
 
-@pytest.mark.parametrize("how", ["dies before its word", "garbles its word", "refuses all", "hangs"])
-def test_the_old_process_goes_on_where_its_successor_does_not_take_jobs(tmp_path: Path, how: str) -> None:
+@pytest.mark.parametrize("how", ["dies before its answer", "garbles its answer", "refuses all", "hangs"])
+def test_the_old_process_continues_jobs_that_its_successor_does_not_take(tmp_path: Path, how: str) -> None:
     async def case(site: Site) -> None:
-        old, clients, partner = await _passing(site, "a", "b")
-        message, sockets = await partner.next("jobs")
+        old, clients, successor = await _hand_over(site, "a", "b")
+        message, sockets = await successor.next("jobs")
         number = message.number("number")
         assert sorted(j["id"] for j in message.body["jobs"]) == ["a", "b"] and len(sockets) == 2
-        if how == "dies before its word":
-            partner.close()
-        elif how == "garbles its word":
-            partner.channel.send("jobs_ready", number=number, ids=[1, 2])
-            await until(lambda: partner.ended)
+        if how == "dies before its answer":
+            successor.close()
+        elif how == "garbles its answer":
+            successor.channel.send("jobs_ready", number=number, ids=[1, 2])
+            await until(lambda: successor.ended)
         elif how == "refuses all":
-            partner.channel.send("jobs_ready", number=number, ids=[])
-            assert (await partner.next("jobs_yours"))[0].texts("ids") == []
-            with pytest.raises(TimeoutError):  # and is not asked again
-                await partner.next("jobs", 1)
-        else:  # it says nothing: told, in time, that none is its own; then it may be asked again
-            assert (await partner.next("jobs_yours", 2))[0].texts("ids") == []
-            partner.channel.send("jobs_ready", number=number, ids=["a", "b"])  # too late
-            again, more = await partner.next("jobs")
+            successor.channel.send("jobs_ready", number=number, ids=[])
+            assert (await successor.next("jobs_yours"))[0].texts("ids") == []
+            with pytest.raises(TimeoutError):  # they are not offered again
+                await successor.next("jobs", 1)
+        else:  # no answer: it is told in time that it owns none of them; then they are offered again
+            assert (await successor.next("jobs_yours", 2))[0].texts("ids") == []
+            successor.channel.send("jobs_ready", number=number, ids=["a", "b"])  # too late
+            again, more = await successor.next("jobs")
             assert again.number("number") == number + 1
-            partner.drop(more)
-        partner.drop(sockets)
-        # A dead successor leaves the address to the old process again; else call-backs are passed to it.
-        if how in ("dies before its word", "garbles its word"):
+            successor.drop(more)
+        successor.drop(sockets)
+        # Once the successor is dead, the old process serves at the address again and gets the call-backs.
+        if how in ("dies before its answer", "garbles its answer"):
             await _served_by_old(site, old, clients, "a", "b")
         else:
-            asyncio.get_running_loop().call_later(0.6, partner.close)
+            asyncio.get_running_loop().call_later(0.6, successor.close)
             await asyncio.sleep(0.7)
             await _served_by_old(site, old, clients, "a", "b")
-        partner.close()
+        successor.close()
 
     site_test(case)(tmp_path)
 
 
 @site_test
-async def test_the_old_process_does_not_act_for_jobs_that_a_successor_took_and_died_with(site: Site) -> None:
-    old, clients, partner = await _passing(site, "a", "b", "c")
-    message, sockets = await partner.next("jobs")
-    partner.channel.send("jobs_ready", number=message.number("number"), ids=["a", "c", "unknown"])
-    assert sorted((await partner.next("jobs_yours"))[0].texts("ids")) == ["a", "c"]
-    partner.drop(sockets)
-    partner.close()
-    await until(lambda: old.returncode is not None or partner.ended)
-    assert await site.say("a", "done", result="r") == 200  # late, as for any job that is no more
+async def test_the_old_process_drops_jobs_that_its_successor_took_before_it_died(site: Site) -> None:
+    old, clients, successor = await _hand_over(site, "a", "b", "c")
+    message, sockets = await successor.next("jobs")
+    successor.channel.send("jobs_ready", number=message.number("number"), ids=["a", "c", "unknown"])
+    assert sorted((await successor.next("jobs_yours"))[0].texts("ids")) == ["a", "c"]
+    successor.drop(sockets)
+    successor.close()
+    await until(lambda: old.returncode is not None or successor.ended)
+    assert await site.report("a", "done", result="r") == 200  # late, as for any job that has ended
     await site.done("b")
     assert (await clients[1].answer(ending=True)) == (200, b"r b")
-    for client in (clients[0], clients[2]):  # their connections end, with no answer that nobody owes
+    for client in (clients[0], clients[2]):  # their connections are closed without an answer
         with suppress(ConnectionError):
             assert await asyncio.wait_for(client.reader.read(), 5) == b""
-    assert set(site.postings.values()) == {1} and not any(w.deleted() for w in site.workers)
+    assert set(site.postings.values()) == {1} and not any(w.cancelled_jobs() for w in site.workers)
     assert await asyncio.wait_for(old.wait(), 6) == 0
 
 
 @site_test
-async def test_what_is_under_way_at_once_is_bounded_in_jobs_and_in_bytes(site: Site) -> None:
+async def test_a_batch_is_limited_in_jobs_and_in_bytes_and_one_is_passed_at_a_time(site: Site) -> None:
     old, clients = await site.start(), list[Client]()
     for i in range(40):
         body = b"%d" % i + b"x" * 60_000 * (i < 20)
-        clients.append(await Client(site.port).ask(f"n{i}", body))
+        clients.append(await Client(site.port).post(f"n{i}", body))
         await until(lambda body=body: site.postings[body])
-        await asyncio.sleep(0.02)  # for its start: nothing is sent behind a job that waits for one
-    partner = await Partner(site).take_over()
+        await asyncio.sleep(0.02)  # for its start, as in Site.open
+    successor = await Successor(site).take_over()
     old.send_signal(signal.SIGTERM)
-    seen = list[str]()
-    while len(seen) < 40:
-        message, sockets = await partner.next("jobs")
+    offered = list[str]()
+    while len(offered) < 40:
+        message, sockets = await successor.next("jobs")
         jobs = message.body["jobs"]
         assert len(jobs) == len(sockets) <= 32 and len(json.dumps(jobs)) < 3 << 19
-        seen += [j["id"] for j in jobs]
+        offered += [j["id"] for j in jobs]
         with pytest.raises(TimeoutError):  # one batch at a time
-            await partner.next("jobs", 0.05)
-        partner.channel.send("jobs_ready", number=message.number("number"), ids=[j["id"] for j in jobs])
-        partner.drop(sockets)
-    assert sorted(seen) == sorted(f"n{i}" for i in range(40))
-    partner.close()
+            await successor.next("jobs", 0.05)
+        successor.channel.send("jobs_ready", number=message.number("number"), ids=[j["id"] for j in jobs])
+        successor.drop(sockets)
+    assert sorted(offered) == sorted(f"n{i}" for i in range(40))
+    successor.close()
     assert await asyncio.wait_for(old.wait(), 6) == 0
 
 
 @site_test
 async def test_a_successor_of_another_version_is_offered_no_job(site: Site) -> None:
-    old, clients, partner = await _passing(site, "a", takes=False)
+    old, clients, successor = await _hand_over(site, "a", takes_jobs=False)
     with pytest.raises(TimeoutError):
-        await partner.next("jobs", 1)
-    partner.close()
+        await successor.next("jobs", 1)
+    successor.close()
     await _served_by_old(site, old, clients, "a")
 
 
 @site_test
-async def test_call_backs_wait_for_the_word_on_their_job_and_reach_whoever_has_it(site: Site) -> None:
-    old, clients, partner = await _passing(site, "mine", "yours")
-    message, sockets = await partner.next("jobs")
-    # A call-back that the successor got and passes on while the job is between the two.
+async def test_call_backs_wait_for_the_decision_on_their_job_and_reach_its_owner(site: Site) -> None:
+    old, clients, successor = await _hand_over(site, "mine", "yours")
+    message, sockets = await successor.next("jobs")
+    # Call-backs that the successor forwards while the owner of their job is not decided.
     for number, name in ((7, "yours"), (8, "mine")):
-        partner.channel.send("call_back", number=number, id=name, sender=site.worker_of(name).uid,
+        successor.channel.send("call_back", number=number, id=name, sender=site.worker_of(name).uid,
                              state="done", rest=f"r {name}")
     with pytest.raises(TimeoutError):
-        await partner.next("answered", 0.2)
-    partner.channel.send("jobs_ready", number=message.number("number"), ids=["yours"])
-    assert (await partner.next("jobs_yours"))[0].texts("ids") == ["yours"]
-    # The one that went comes after its job; the one that stayed is taken in.
-    passed, _ = await partner.next("call_back")
-    assert passed.text("id") == "yours" and passed.body["rest"] == "r yours"
-    partner.channel.send("answered", number=passed.number("number"), status=200)
+        await successor.next("answered", 0.2)
+    successor.channel.send("jobs_ready", number=message.number("number"), ids=["yours"])
+    assert (await successor.next("jobs_yours"))[0].texts("ids") == ["yours"]
+    # The one for the passed job is forwarded to its new owner; the other is handled by the old process.
+    forwarded, _ = await successor.next("call_back")
+    assert forwarded.text("id") == "yours" and forwarded.body["rest"] == "r yours"
+    successor.channel.send("answered", number=forwarded.number("number"), status=200)
     assert await clients[0].answer() == (200, b"r mine")
-    # One that crossed the word goes after its job as well.
-    partner.channel.send("call_back", number=9, id="yours", sender=site.worker_of("yours").uid,
+    # One that was sent before the decision arrived is forwarded to the new owner as well.
+    successor.channel.send("call_back", number=9, id="yours", sender=site.worker_of("yours").uid,
                          state="done", rest="again")
-    passed, _ = await partner.next("call_back")
-    assert passed.body["rest"] == "again"
-    partner.drop(sockets)
-    partner.close()
+    forwarded, _ = await successor.next("call_back")
+    assert forwarded.body["rest"] == "again"
+    successor.drop(sockets)
+    successor.close()
     assert await asyncio.wait_for(old.wait(), 6) == 0
 
 
-# Partners that fail the new process.
+# Predecessors that fail the new process.
 
-class Former(Partner):
-    """A process that is replaced by a real one, played by the test."""
+class Predecessor(Successor):
+    """A test double of a process that a real one replaces."""
 
     async def serve(self, start: Any) -> Any:
-        """Let the program replace this one; return its process."""
+        """Let the process of the program that ``start`` begins replace this one; return that process."""
         listening = socket.create_server(("127.0.0.1", self.site.port))
-        door, told = channel.listen_at(self.site.path), asyncio.get_running_loop().create_future()
+        unix_listener, connected = (
+            channel.listen_at(self.site.path), asyncio.get_running_loop().create_future())
 
-        def knock() -> None:
-            sock, _ = door.accept()
-            self.channel = Channel(sock, lambda m, s: self.came.put_nowait((m, s)), self.ended.append)
-            told.set_result(None)
+        def accept() -> None:
+            sock, _ = unix_listener.accept()
+            self.channel = Channel(sock, lambda m, s: self.received.put_nowait((m, s)), self.ended.append)
+            connected.set_result(None)
 
-        asyncio.get_running_loop().add_reader(door, knock)
+        asyncio.get_running_loop().add_reader(unix_listener, accept)
         starting = asyncio.ensure_future(start)
-        await asyncio.wait_for(told, 10)
-        asyncio.get_running_loop().remove_reader(door)
-        door.close()
+        await asyncio.wait_for(connected, 10)
+        asyncio.get_running_loop().remove_reader(unix_listener)
+        unix_listener.close()
         hello, _ = await self.next("hello")
         assert hello.body["takes_jobs"] is True
         targets = [{"uid": w.uid, "endpoint": f"127.0.0.1:{w.port}", "az": "tartu-dc", "state": "up"}
@@ -400,68 +405,72 @@
         return await starting
 
 
-def passed(identity: str, worker: str = "s-0", **more: Any) -> dict[str, Any]:
-    rules = {"aim_us": 100_000, "deadline_us": LONG, "effect": "unsafe"}
-    kind = api.JobClass(**(rules | {"effect": api.Effect.UNSAFE}))
-    job = Job(identity, f"/{KIND}", b"body", 0, 0, span(LONG), function=KIND, class_name=KIND)
-    attempts = (OpenAttempt(worker, span(5000), span(LONG), None, None),)
-    return PassedJob(OpenJob(job, kind, TENANTS[0], span(LONG), attempts), b"", True, True).to_body() | more
+def passed_body(identity: str, worker: str = "s-0", **more: Any) -> dict[str, Any]:
+    rules = {"aim_us": 100_000, "deadline_us": LONG_US, "effect": "unsafe"}
+    job_class = api.JobClass(**(rules | {"effect": api.Effect.UNSAFE}))
+    job = Job(identity, f"/{CLASS_NAME}", b"body", 0, 0, span(LONG_US), function=CLASS_NAME,
+              class_name=CLASS_NAME)
+    attempts = (OpenAttempt(worker, span(5000), span(LONG_US), None, None),)
+    return PassedJob(
+        OpenJob(job, job_class, TENANTS[0], span(LONG_US), attempts), b"", True, True).to_body() | more
 
 
 @site_test
-async def test_a_new_process_takes_only_what_it_can_go_on_with_and_only_once_told(site: Site) -> None:
-    former = Former(site)
-    await former.serve(site.start())
-    ours, theirs = zip(*(socket.socketpair() for _ in range(4)), strict=True)
-    some = [passed("a"), passed("a"), passed("b", "s-unknown"), passed("c")]
-    former.channel.send("jobs", theirs, number=1, jobs=some)
-    assert (await former.next("jobs_ready"))[0].texts("ids") == ["a", "c"]
-    assert await site.figure(0, "concurrent") == 0
-    # A call-back waits for the word. None comes for the first batch: its second one drops it.
+async def test_a_new_process_takes_only_jobs_that_it_can_continue_and_only_once_decided(site: Site) -> None:
+    predecessor = Predecessor(site)
+    await predecessor.serve(site.start())
+    client_ends, passed_ends = zip(*(socket.socketpair() for _ in range(4)), strict=True)
+    jobs = [passed_body("a"), passed_body("a"), passed_body("b", "s-unknown"), passed_body("c")]
+    predecessor.channel.send("jobs", passed_ends, number=1, jobs=jobs)
+    assert (await predecessor.next("jobs_ready"))[0].texts("ids") == ["a", "c"]
+    assert await site.metric(0, "concurrent") == 0
+    # A call-back waits for the decision. The first batch gets none: the second batch drops it.
     waiting = asyncio.ensure_future(site.workers[0].call_back("a", state="done", result="early"))
     await asyncio.sleep(0.1)
     assert not waiting.done()
-    former.channel.send("jobs_yours", number=7, ids=["a"])  # a word on no batch
-    more_ours, more_theirs = socket.socketpair()
-    former.channel.send("jobs", [more_theirs], number=2, jobs=[passed("a")])
-    passed_on, _ = await former.next("call_back")  # it goes to the one that had the job meanwhile
-    former.channel.send("answered", number=passed_on.number("number"), status=503)
+    predecessor.channel.send("jobs_yours", number=7, ids=["a"])  # a decision on no batch
+    second_client, second_passed = socket.socketpair()
+    predecessor.channel.send("jobs", [second_passed], number=2, jobs=[passed_body("a")])
+    forwarded, _ = await predecessor.next("call_back")  # to the process that owned the job until then
+    predecessor.channel.send("answered", number=forwarded.number("number"), status=503)
     assert await waiting == 503
-    assert (await former.next("jobs_ready"))[0].number("number") == 2
-    former.channel.send("jobs_yours", number=2, ids=["a", "c"])
-    await until(lambda: former.came.empty())
+    assert (await predecessor.next("jobs_ready"))[0].number("number") == 2
+    predecessor.channel.send("jobs_yours", number=2, ids=["a", "c"])
+    await until(lambda: predecessor.received.empty())
     await asyncio.sleep(0.1)
-    assert await site.figure(0, "concurrent") == 1
+    assert await site.metric(0, "concurrent") == 1
     assert await site.workers[0].call_back("a", state="done", result="late") == 200
-    more_ours.settimeout(5)
-    assert (await asyncio.to_thread(more_ours.recv, 4096)).endswith(b"late")
-    for sock in ours:  # let go of: this process answers nothing on them
+    second_client.settimeout(5)
+    assert (await asyncio.to_thread(second_client.recv, 4096)).endswith(b"late")
+    for sock in client_ends:  # closed: this process does not answer on them
         sock.settimeout(5)
         assert await asyncio.to_thread(sock.recv, 1) == b""
-    former.close()
+    predecessor.close()
 
 
-@pytest.mark.parametrize("what", [
-    {"jobs": [{}]}, {"jobs": [None]}, {"jobs": []}, {"jobs": "x"}, {"jobs": [passed("a", attempts=[])]},
-    {"jobs": [passed("a", rules={"aim_us": 1})]}, {"jobs": [passed("a", body="?")]}, {"number": -1},
-    {"jobs": [passed("a", left=10**30)]}, {"jobs": [passed("a"), passed("b")]},
+@pytest.mark.parametrize("change", [
+    {"jobs": [{}]}, {"jobs": [None]}, {"jobs": []}, {"jobs": "x"}, {"jobs": [passed_body("a", attempts=[])]},
+    {"jobs": [passed_body("a", rules={"aim_us": 1})]}, {"jobs": [passed_body("a", body="?")]}, {"number": -1},
+    {"jobs": [passed_body("a", left=10**30)]}, {"jobs": [passed_body("a"), passed_body("b")]},
 ])
-def test_garbled_jobs_end_the_channel_and_the_new_process_serves_on(tmp_path: Path, what: Any) -> None:
+def test_malformed_jobs_end_the_channel_and_the_new_process_continues_to_serve(
+    tmp_path: Path, change: Any,
+) -> None:
     async def case(site: Site) -> None:
-        former = Former(site)
-        process = await former.serve(site.start())
-        ours, theirs = socket.socketpair()
-        former.channel.send("jobs", [theirs], **({"number": 1, "jobs": [passed("a")]} | what))
-        await until(lambda: former.ended)
-        ours.settimeout(5)
-        assert await asyncio.to_thread(ours.recv, 1) == b""  # its descriptor is not kept
-        assert process.returncode is None and await site.figure(0, "concurrent") == 0
-        former.drop(former.listening)
+        predecessor = Predecessor(site)
+        process = await predecessor.serve(site.start())
+        client_end, passed_end = socket.socketpair()
+        predecessor.channel.send("jobs", [passed_end], **({"number": 1, "jobs": [passed_body("a")]} | change))
+        await until(lambda: predecessor.ended)
+        client_end.settimeout(5)
+        assert await asyncio.to_thread(client_end.recv, 1) == b""  # its descriptor is closed
+        assert process.returncode is None and await site.metric(0, "concurrent") == 0
+        predecessor.drop(predecessor.listening)
 
     site_test(case)(tmp_path)
 
 
-# The pure parts.
+# Parts without I/O.
 
 JSON = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(max_size=6),
@@ -469,24 +478,24 @@
 
 
 @settings(derandomize=True, deadline=None)
-@examples(st.sampled_from(sorted(passed("a"))), JSON)
-def test_a_job_with_any_part_exchanged_is_read_or_refused(key: str, value: Any) -> None:
-    body = json.loads(json.dumps(passed("a")))
+@examples(st.sampled_from(sorted(passed_body("a"))), JSON)
+def test_a_job_with_any_field_changed_is_decoded_or_refused(key: str, value: Any) -> None:
+    body = json.loads(json.dumps(passed_body("a")))
     assert PassedJob.from_body(body, 1000).to_body() == body
     with suppress(MessageError):
-        read_again = PassedJob.from_body(body | {key: value}, 1000)
-        assert read_again == PassedJob.from_body(read_again.to_body(), 1000)
+        decoded = PassedJob.from_body(body | {key: value}, 1000)
+        assert decoded == PassedJob.from_body(decoded.to_body(), 1000)
     del body[key]
     with pytest.raises(MessageError):
         PassedJob.from_body(body, 1000)
 
 
-def test_a_body_over_the_bound_is_refused() -> None:
+def test_a_body_over_the_size_limit_is_refused() -> None:
     with pytest.raises(MessageError):
-        PassedJob.from_body(passed("a"), 2)
+        PassedJob.from_body(passed_body("a"), 2)
 
 
-def test_a_word_on_another_batch_says_nothing_of_the_one_that_is_held() -> None:
+def test_a_decision_on_another_batch_leaves_the_pending_one_alone() -> None:
     batch = PendingBatch[str]()
     assert batch.start({"a": "A", "b": "B"}) == [] and batch.number == 1 and batch.pending
     assert batch.settle(2, ["a"]) == ([], []) and batch.pending
@@ -496,7 +505,7 @@
     assert batch.start({"d": "D"}) == ["C"] and batch.number == 10 and batch.clear() == ["D"]
 
 
-def test_a_class_and_a_tenant_of_other_settings_are_numbered_apart_and_listed_nowhere() -> None:
+def test_a_class_and_a_tenant_of_other_settings_get_new_numbers_and_are_not_listed() -> None:
     held = generations.first(BASE, ["one"], ["x", "y"])
     same, *numbers = generations.keep(held, held.rows[0], "y")
     assert same is held and numbers == [0, 1]
@@ -511,21 +520,21 @@
             kept, _, _ = generations.keep(kept, (f"k{i}", rules), "x")
 
 
-def _adopted(effect: api.Effect, *made: api.Made) -> Referee:
+def _adopted_job(effect: api.Effect, *made: api.Made) -> Referee:
     rules = api.Settings(classes=(api.JobClass(100_000, 5_000_000, effect),), max_attempts=3, reports=False)
     referee = Referee(rules)
     referee.play(fleet(4))
     arrival = api.Arrival(1, 0, 4_000_000, made=made)
-    assert not pushes(referee.play(arrival, after_us=4000))  # what is out is not sent again
+    assert not pushes(referee.play(arrival, after_us=4000))  # open attempts are not sent again
     return referee
 
 
 @pytest.mark.parametrize("effect", list(api.Effect))
 @pytest.mark.parametrize("outcome", [api.Outcome.FULL, api.Outcome.TIMED_OUT, api.Outcome.SERVED])
-def test_the_module_goes_on_with_an_attempt_made_elsewhere_as_with_its_own(
+def test_the_dispatcher_treats_an_attempt_made_elsewhere_as_its_own(
     effect: api.Effect, outcome: api.Outcome,
 ) -> None:
-    referee = _adopted(effect, api.Made(2, 900_000))
+    referee = _adopted_job(effect, api.Made(2, 900_000))
     ended = api.AttemptEnded(1, 0, 2, outcome, 200_000, outcome is api.Outcome.SERVED)
     actions = referee.dispatcher.handle(referee.now + 50_000, [ended])
     again = pushes(actions)
@@ -537,9 +546,9 @@
         assert not again and any(isinstance(a, api.Fail) for a in actions)  # it may have run
 
 
-def test_attempts_made_elsewhere_count_and_a_worker_that_no_list_names_may_have_one() -> None:
+def test_attempts_made_elsewhere_count_even_at_a_worker_in_no_list() -> None:
     before = [api.Made(n, 900_000, 0, api.Outcome.FULL) for n in (1, 2)]
-    referee = _adopted(api.Effect.UNSAFE, *before, api.Made(99, 950_000, 960_000))
+    referee = _adopted_job(api.Effect.UNSAFE, *before, api.Made(99, 950_000, 960_000))
     actions = referee.dispatcher.handle(
         referee.now + 9000, [api.AttemptEnded(1, 2, 99, api.Outcome.FULL, 9000, False)])
     assert not pushes(actions) and any(isinstance(a, api.Refuse) for a in actions)  # the third was the last
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -1,4 +1,4 @@
-"""The whole program as the platform starts it: its configuration, its front and its end."""
+"""The whole program, started as on the platform: configuration, HTTP requests, signals and shutdown."""
 
 import asyncio
 import json
@@ -23,14 +23,14 @@
 from hazellead.limits import Limits
 
 SETTINGS = tomllib.loads((ROOT / "deploy/gearman.toml").read_text())["settings"]
-# With these a process serves on for 0.6 s after SIGTERM, not for 2.5: for tests that look at its end alone.
-BRIEF = SETTINGS | {"requestClasses": [
+# With these a process accepts jobs for 0.6 s after SIGTERM, not for 2.5: for tests of the shutdown alone.
+BRIEF_SETTINGS = SETTINGS | {"requestClasses": [
     row | {"aimUs": 100_000, "hardLimitUs": 300_000} for row in SETTINGS["requestClasses"]]}
-TAKEN = bind_unused_port()
+USED_PORT = bind_unused_port()
 HEADERS = "X-Trace-Id: {}\r\nX-Customer: pohja-vesi\r\nX-Expires-In: 5000m\r\n"
 
 
-def given(port: int, *workers: HttpWorker) -> dict[str, Any]:
+def platform_config(port: int, *workers: HttpWorker) -> dict[str, Any]:
     targets = [{"uid": w.uid, "endpoint": f"127.0.0.1:{w.port}", "az": "tartu-dc", "state": "up"}
                for w in workers]
     return {"name": "n1", "listen": f"127.0.0.1:{port}", "discovery": f"127.0.0.1:{free_port()}",
@@ -43,17 +43,17 @@
     folder: Path, port: int, *workers: HttpWorker, descriptors: int = 0, **more: Any,
 ) -> Any:
     folder.mkdir(exist_ok=True)
-    (folder / "config.json").write_text(json.dumps(given(port, *workers) | more))
-    # TMPDIR is shared by the processes that replace each other.
+    (folder / "config.json").write_text(json.dumps(platform_config(port, *workers) | more))
+    # Processes that replace each other share TMPDIR: the hand-over's socket is there.
     env = {"GW_CONFIG": str(folder / "config.json"), "TMPDIR": str(folder.parent)}
 
-    def bound() -> None:
+    def limit_descriptors() -> None:
         if descriptors:
             resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
 
     process = await asyncio.create_subprocess_exec(
         sys.executable, "-m", "hazellead", cwd=ROOT, env=env, stderr=asyncio.subprocess.PIPE,
-        preexec_fn=bound)
+        preexec_fn=limit_descriptors)
     try:
         assert process.stderr
         while b"event=ready" not in (line := await process.stderr.readline()):
@@ -73,20 +73,20 @@
     return int(first.split()[1])
 
 
-def test_a_planned_end_serves_on_kept_connections_then_answers_all_in_time(tmp_path: Path) -> None:
+def test_sigterm_serves_open_connections_for_a_while_then_answers_every_job_in_time(tmp_path: Path) -> None:
     async def case() -> None:
         port, count = free_port(), Counter[bytes]()
         worker = HttpWorker("s-1", count, lambda: port)
         worker.states = [{"state": "started"}]
         async with worker.serving(), program(tmp_path, port, worker) as process:
             assert await get(port, "/up") == 200
-            kept, kept_writer = await asyncio.open_connection("127.0.0.1", port)
+            open_reader, open_writer = await asyncio.open_connection("127.0.0.1", port)
             idle, idle_writer = await asyncio.open_connection("127.0.0.1", port)
 
-            async def on_kept(identity: str) -> tuple[int, dict[str, str]]:
-                kept_writer.write(f"POST /post-payment HTTP/1.1\r\n{HEADERS.format(identity)}"
+            async def post_on_open(identity: str) -> tuple[int, dict[str, str]]:
+                open_writer.write(f"POST /post-payment HTTP/1.1\r\n{HEADERS.format(identity)}"
                                   f"Content-Length: 1\r\n\r\n{identity}".encode())
-                first, headers, _ = await http_message(kept)
+                first, headers, _ = await http_message(open_reader)
                 return int(first.split()[1]), headers
 
             held = [asyncio.ensure_future(http_post(port, "/post-payment", name.encode(), headers))
@@ -96,22 +96,22 @@
             began = asyncio.get_running_loop().time()
             while await get(port, "/up") == 200:
                 await asyncio.sleep(0.01)
-            for i, pause in enumerate((0.0, 1.2, 0.8)):  # new work on the same connection for 2 s and more
+            for i, pause in enumerate((0.0, 1.2, 0.8)):  # new jobs on the same connection for more than 2 s
                 await asyncio.sleep(pause)
-                late = asyncio.ensure_future(on_kept(str(i)))
+                late = asyncio.ensure_future(post_on_open(str(i)))
                 await until(lambda i=i: count[b"%d" % i])
                 assert await worker.call_back(str(i), state="done", result="r") == 200
                 status, headers = await late
                 assert status == 200 and headers.get("connection") != "close"
             await asyncio.sleep(began + 2.6 - asyncio.get_running_loop().time())
-            assert await kept.read() == await idle.read() == b""  # ended without a reset
-            kept_writer.close()
+            assert await open_reader.read() == await idle.read() == b""  # closed without a reset
+            open_writer.close()
             idle_writer.close()
             status, headers, _ = await http_post(port, "/post-payment", b"c", HEADERS.format("33"))
             assert status == 429 and float(headers["retry-after"]) > 0 and not count[b"c"]
-            assert await worker.call_back("1a", state="done", result="ra") == 200  # taken still
+            assert await worker.call_back("1a", state="done", result="ra") == 200  # still accepted
             assert (await held[0])[::2] == (200, b"ra")
-            assert (await held[1])[0] == 502  # it may have run; its client has 5 s
+            assert (await held[1])[0] == 502  # it may have run; its client would wait for 5 s
             assert 3.4 < asyncio.get_running_loop().time() - began < 3.7
             assert await asyncio.wait_for(process.wait(), 10) == 0
 
@@ -122,16 +122,16 @@
 def test_the_list_is_watched_from_the_start_whether_it_is_asked_for_or_pushed(
     mode: str, tmp_path: Path,
 ) -> None:
-    """Settings of lists that come unasked had no watch opened: no drain was ever heard of."""
+    """With settings under which lists are pushed, no watch was opened, and no drain was ever noticed."""
     async def case() -> None:
         port, count = free_port(), Counter[bytes]()
         worker = HttpWorker("s-1", count, lambda: port)
         async with worker.serving():
-            known = given(port, worker)["known"]
+            known = platform_config(port, worker)["known"]
             discovery = Discovery(known | {"rev": 2})
             server = await asyncio.start_server(discovery.serve, "127.0.0.1", 0)
             address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-            settings = BRIEF | {"membershipMode": mode}
+            settings = BRIEF_SETTINGS | {"membershipMode": mode}
             async with program(tmp_path, port, worker, discovery=address, settings=settings):
                 await until(lambda: len(discovery.calls) > 1)
                 drained = [target | {"state": "draining"} for target in known["targets"]]
@@ -148,20 +148,20 @@
 def test_discovery_is_asked_at_the_start_without_a_known_list_and_before_any_job(
     mode: str, tmp_path: Path,
 ) -> None:
-    """A process that was given no list asked discovery only when its first job came (seen twice, for 10 s).
+    """A process started without a list called discovery only when its first job came (seen twice, for 10 s).
 
-    The decisions ask for the watch in their first step, and a step comes with an event: a list from before
-    the start is one, the next was the first job. Evidence: on the program from before the watch was opened
-    by ``Program.start``, this test ends after its 3 s with no call made.
+    The dispatcher asks for the watch in its first step, and a step needs an event: a list known before the
+    start is one; without it the first job was. Before ``Program.start`` opened the watch, this test failed
+    after 3 s without a call.
     """
     async def case() -> None:
         port, count = free_port(), Counter[bytes]()
         worker = HttpWorker("s-1", count, lambda: port)
         async with worker.serving():
-            discovery = Discovery(given(port, worker)["known"])
+            discovery = Discovery(platform_config(port, worker)["known"])
             server = await asyncio.start_server(discovery.serve, "127.0.0.1", 0)
             address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
-            settings = BRIEF | {"membershipMode": mode}
+            settings = BRIEF_SETTINGS | {"membershipMode": mode}
             async with program(tmp_path, port, discovery=address, settings=settings, known={}):
                 async with asyncio.timeout(3):
                     await until(lambda: len(discovery.calls) > 1)
@@ -175,13 +175,13 @@
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGHUP])
 def test_a_signal_ends_the_wait_for_a_first_list(number: signal.Signals, tmp_path: Path) -> None:
-    """Discovery is silent: a new process would be ready after 4 s, and would heed a signal only then."""
+    """While discovery does not answer, a process would be ready, and handle signals, only after 4 s."""
     async def case() -> None:
         port, discovery = free_port(), Discovery()
         server = await asyncio.start_server(discovery.serve, "127.0.0.1", 0)
         address = f"127.0.0.1:{server.sockets[0].getsockname()[1]}"
         tmp_path.joinpath("config.json").write_text(
-            json.dumps(given(port) | {"discovery": address, "settings": BRIEF}))
+            json.dumps(platform_config(port) | {"discovery": address, "settings": BRIEF_SETTINGS}))
         process = await asyncio.create_subprocess_exec(
             sys.executable, "-m", "hazellead", cwd=ROOT, env={"GW_CONFIG": str(tmp_path / "config.json")},
             stderr=asyncio.subprocess.PIPE)
@@ -210,18 +210,18 @@
                 while True:
                     asked.append((await http_message(reader))[0].split()[1])
                     if "?" not in asked[-1]:
-                        body = json.dumps({"rev": 3, "all": True, "targets": given(port, worker)["known"][
-                            "targets"]}).encode()
+                        body = json.dumps({"rev": 3, "all": True, "targets": platform_config(
+                            port, worker)["known"]["targets"]}).encode()
                         writer.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
 
         async with worker.serving(), program(tmp_path, port) as process:
-            server = await asyncio.start_server(discovery, "127.0.0.1", moved := free_port())
+            server = await asyncio.start_server(discovery, "127.0.0.1", new_port := free_port())
             path = tmp_path / "config.json"
-            brief = HEADERS.format(1).replace("5000m", "500m")
-            answer = await http_post(port, "/post-payment", b"a", brief)
+            short_headers = HEADERS.format(1).replace("5000m", "500m")
+            answer = await http_post(port, "/post-payment", b"a", short_headers)
             assert answer[0] == 429  # no worker is known
             for text, event in (("{", b"config_kept"), ("{}", b"config_kept"), (
-                    json.dumps(given(port) | {"discovery": f"127.0.0.1:{moved}", "name": "n2"}),
+                    json.dumps(platform_config(port) | {"discovery": f"127.0.0.1:{new_port}", "name": "n2"}),
                     b"changed=name")):
                 path.write_text(text)
                 process.send_signal(signal.SIGHUP)
@@ -233,15 +233,18 @@
             answer = await http_post(port, "/post-payment", b"b", HEADERS.format(2))
             assert answer[::2] == (200, b"posted b")
             process.send_signal(signal.SIGTERM)
-            process.send_signal(signal.SIGHUP)  # no obstacle to the planned end
+            process.send_signal(signal.SIGHUP)  # must not disturb the shutdown
             assert await asyncio.wait_for(process.wait(), 10) == 0
             server.close()
 
     run(case())
 
 
-def test_a_kept_connection_goes_by_the_settings_in_force_not_by_those_of_the_start(tmp_path: Path) -> None:
-    """They shorten the time after which workers end idle ones: one used after it may take a payment along."""
+def test_an_idle_worker_connection_expires_by_the_reloaded_settings(tmp_path: Path) -> None:
+    """The new settings shorten the time after which workers close idle connections.
+
+    A connection used after that time may lose the request sent on it, here a payment.
+    """
     async def case() -> None:
         port, count, opened = free_port(), Counter[bytes](), list[int]()
         worker = HttpWorker("s-1", count, lambda: port)
@@ -276,57 +279,61 @@
     run(case())
 
 
-@pytest.mark.parametrize(("sockets", "truly"), [(256, 256), (1024, 96)])
-def test_idle_clients_take_neither_the_list_nor_the_program_down(
-    tmp_path: Path, sockets: int, truly: int,
+@pytest.mark.parametrize(("sockets", "actual_limit"), [(256, 256), (1024, 96)])
+def test_idle_clients_block_neither_discovery_nor_the_program(
+    tmp_path: Path, sockets: int, actual_limit: int,
 ) -> None:
-    """They fill the descriptors while discovery is down; in the second case the limit is set too high."""
+    """Idle clients use up the descriptors while discovery is down.
+
+    In the second case the configured number of sockets exceeds the process's actual limit.
+    """
     async def case() -> None:
-        port, count, told, back = free_port(), Counter[bytes](), free_port(), list[float]()
+        port, count, discovery_port, answer_times = free_port(), Counter[bytes](), free_port(), list[float]()
         worker = HttpWorker("s-2", count, lambda: port)
 
         async def discovery(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             with suppress(asyncio.IncompleteReadError, ConnectionError):
                 while True:
                     first = (await http_message(reader))[0]
-                    if "index=2" in first:  # nothing newer: it waits for as long as it is asked to
+                    if "index=2" in first:  # nothing newer: wait for as long as the query says
                         await asyncio.sleep(int(first.split()[1].rpartition("wait=")[2]) / 1000)
-                    body = json.dumps(given(port, worker)["known"] | {"rev": 2}).encode()
+                    body = json.dumps(platform_config(port, worker)["known"] | {"rev": 2}).encode()
                     writer.write(b"HTTP/1.1 200 X\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-                    back.append(time.monotonic())
+                    answer_times.append(time.monotonic())
 
         old = HttpWorker("s-1", count, lambda: port)
         old.port = free_port()
-        more = {"discovery": f"127.0.0.1:{told}", "limits": {"sockets": sockets, "memory_mb": 64}}
+        more = {"discovery": f"127.0.0.1:{discovery_port}", "limits": {"sockets": sockets, "memory_mb": 64}}
         async with worker.serving(), program(
-                tmp_path, port, old, descriptors=truly, **more) as process:
+                tmp_path, port, old, descriptors=actual_limit, **more) as process:
             ends = [socket.create_connection(("127.0.0.1", port)) for _ in range(400)]
             for i, end in enumerate(ends):
                 if i % 2:
                     with suppress(OSError):
-                        end.sendall(b"GET /up HTTP/1.1\r\n\r\n")  # it will rest
+                        end.sendall(b"GET /up HTTP/1.1\r\n\r\n")  # idle after the answer
             await asyncio.sleep(1.5)
-            assert len(os.listdir(f"/proc/{process.pid}/fd")) > 90, "they do not fill it"
-            server, began = await asyncio.start_server(discovery, "127.0.0.1", told), time.monotonic()
-            coming = asyncio.ensure_future(crowding(port))  # and they go on coming
-            await until(lambda: back)
-            coming.cancel()
-            assert back[0] - began < 2.0
-            spent = cpu(process.pid)
+            assert len(os.listdir(f"/proc/{process.pid}/fd")) > 90, "too few descriptors are open"
+            server, began = (
+                await asyncio.start_server(discovery, "127.0.0.1", discovery_port), time.monotonic())
+            connecting = asyncio.ensure_future(connect_repeatedly(port))
+            await until(lambda: answer_times)
+            connecting.cancel()
+            assert answer_times[0] - began < 2.0
+            spent = cpu_seconds(process.pid)
             await asyncio.sleep(1)
-            assert cpu(process.pid) - spent < 0.5, "it spins"
+            assert cpu_seconds(process.pid) - spent < 0.5, "the process is in a busy loop"
             for end in ends:
                 end.close()
             await until(lambda: len(os.listdir(f"/proc/{process.pid}/fd")) < 30)
             answer = await http_post(port, "/post-payment", b"a", HEADERS.format("1"))
-            assert answer[::2] == (200, b"posted a")  # by the one that discovery has told of
+            assert answer[::2] == (200, b"posted a")  # by the worker in discovery's list
             server.close()
 
     run(case())
 
 
-async def crowding(port: int) -> None:
-    """Connect a few clients that say nothing, again and again."""
+async def connect_repeatedly(port: int) -> None:
+    """Connect 20 silent clients, close them, and begin again."""
     while True:
         ends = [socket.create_connection(("127.0.0.1", port)) for _ in range(20)]
         await asyncio.sleep(0.05)
@@ -334,41 +341,41 @@
             end.close()
 
 
-def cpu(process: int) -> float:
-    """Return the processor seconds that a process has used."""
+def cpu_seconds(process: int) -> float:
+    """Return the CPU time that a process has used."""
     fields = Path(f"/proc/{process}/stat").read_text().rpartition(")")[2].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def run_command() -> str:
-    """The deploy file's command, with this interpreter."""
+    """Return the deploy file's command, run with this interpreter."""
     command: str = tomllib.loads((ROOT / "deploy/balancer.toml").read_text())["run"]
     assert ".venv/bin/python" in command
     return command.replace(".venv/bin/python", sys.executable)
 
 
-def test_signals_before_it_is_ready_are_heeded_and_none_kills_it(tmp_path: Path) -> None:
-    """SIGHUP from the first moment on, SIGTERM while it reads its file: it comes up, then ends as planned."""
+def test_signals_before_the_program_is_ready_are_handled_and_do_not_kill_it(tmp_path: Path) -> None:
+    """SIGHUP from the start on, SIGTERM while the file is read: the program gets ready, then shuts down."""
     async def case() -> None:
         port, path = free_port(), tmp_path / "config.json"
-        os.mkfifo(path)  # the start stands still there until the test writes
+        os.mkfifo(path)  # reading it blocks the start until the test writes
         process = await asyncio.create_subprocess_shell(
             run_command(), cwd=ROOT, env={"GW_CONFIG": str(path)}, stderr=asyncio.subprocess.PIPE)
-        text = json.dumps(given(port) | {"settings": BRIEF})
+        text = json.dumps(platform_config(port) | {"settings": BRIEF_SETTINGS})
 
-        async def opened() -> int:
-            while True:  # it succeeds once the other side reads
+        async def open_for_writing() -> int:
+            while True:  # opening succeeds once the program reads
                 with suppress(OSError):
                     return os.open(path, os.O_WRONLY | os.O_NONBLOCK)
                 os.kill(process.pid, signal.SIGHUP)
                 await asyncio.sleep(0.002)
 
-        await asyncio.sleep(0.02)  # the shell has read its line
-        end = await opened()
+        await asyncio.sleep(0.02)  # for the shell to start
+        end = await open_for_writing()
         for number in (signal.SIGTERM, signal.SIGHUP, signal.SIGTERM):
             os.kill(process.pid, number)
             await asyncio.sleep(0.05)
-        (tmp_path / "next.json").write_text(text)  # for SIGHUP the file is read again
+        (tmp_path / "next.json").write_text(text)  # SIGHUP makes the program read the file again
         os.rename(tmp_path / "next.json", path)
         os.write(end, text.encode())
         os.close(end)
@@ -383,7 +390,7 @@
     run(case())
 
 
-def test_a_second_sigterm_changes_neither_the_end_nor_the_exit_code(tmp_path: Path) -> None:
+def test_repeated_signals_change_neither_the_shutdown_nor_the_exit_code(tmp_path: Path) -> None:
     async def case() -> None:
         async with program(tmp_path, free_port()) as process:
             began = asyncio.get_running_loop().time()
@@ -397,7 +404,7 @@
     run(case())
 
 
-def test_the_platforms_start_waits_for_nothing_that_an_operators_file_turns_on() -> None:
+def test_the_platforms_start_imports_no_optional_part() -> None:
     parts = {"gearman", "yaml", "peers", "learning", "snapshots", "lab", "known", "msgspec", "xxhash",
              "cryptography"}
     code = f"import sys, hazellead.__main__; print([m for m in sys.modules if set(m.split('.')) & {parts}])"
@@ -405,7 +412,7 @@
     assert done.stdout.strip() == "[]"
 
 
-def test_call_backs_may_come_early_again_and_for_nothing(tmp_path: Path) -> None:
+def test_call_backs_may_come_early_repeatedly_or_for_unknown_jobs(tmp_path: Path) -> None:
     async def case() -> None:
         port, count = free_port(), Counter[bytes]()
         worker = HttpWorker("s-1", count, lambda: port)
@@ -425,9 +432,9 @@
     run(case())
 
 
-@pytest.mark.parametrize("leave", ["closed", "reset", "flooded"])
-def test_no_further_attempt_begins_for_a_client_that_has_gone(tmp_path: Path, leave: str) -> None:
-    """Its first one is handed back unseen 0.15 s after; another worker would take it at once."""
+@pytest.mark.parametrize("how", ["closed", "reset", "flooded"])
+def test_no_further_attempt_begins_for_a_client_that_has_left(tmp_path: Path, how: str) -> None:
+    """The worker refuses the first attempt 0.15 s after the client left; another worker is free."""
     async def case() -> None:
         port, count, go = free_port(), Counter[str](), asyncio.Event()
 
@@ -444,22 +451,22 @@
         for worker, server in zip(fleet, servers, strict=True):
             worker.port = server.sockets[0].getsockname()[1]
         async with program(tmp_path, port, *fleet):
-            for identity, gone in (("stays", False), ("goes", True)):
+            for identity, leaves in (("stays", False), ("goes", True)):
                 go.clear()
                 client = socket.create_connection(("127.0.0.1", port))
                 client.sendall(f"POST /post-payment HTTP/1.1\r\n{HEADERS.format(identity)}\r\n".encode())
                 await until(lambda i=identity: count[i])
-                if gone and leave == "flooded":
+                if leaves and how == "flooded":
                     more = b"POST /post-payment HTTP/1.1\r\nContent-Length: 9000\r\n\r\n" + b"a" * 9000
                     await asyncio.to_thread(client.sendall, more * 60)
-                if gone and leave == "reset":
+                if leaves and how == "reset":
                     client.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\1\0\0\0\0\0\0\0")
-                if gone:
+                if leaves:
                     client.close()
                 await asyncio.sleep(0.15)
                 go.set()
                 await asyncio.sleep(0.5)
-                assert count[identity] == 1 if gone else count[identity] > 1
+                assert count[identity] == 1 if leaves else count[identity] > 1
                 client.close()
         for server in servers:
             server.close()
@@ -467,24 +474,24 @@
     run(case())
 
 
-def test_it_is_ready_at_once_whatever_discovery_does(tmp_path: Path) -> None:
-    """Nine in ten have to be ready within 10 s after a restart, most while discovery has too many callers."""
+def test_the_program_is_ready_soon_whether_or_not_discovery_answers(tmp_path: Path) -> None:
+    """Nine in ten processes must be ready within 10 s of a restart, mostly while discovery is overloaded."""
     async def case() -> None:
         async def silent(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
             await reader.read()
 
-        server = await asyncio.start_server(silent, "127.0.0.1", told := free_port())
-        for at in (told, free_port()):
+        server = await asyncio.start_server(silent, "127.0.0.1", silent_port := free_port())
+        for discovery_port in (silent_port, free_port()):
             port, began = free_port(), time.monotonic()
-            async with program(tmp_path, port, discovery=f"127.0.0.1:{at}"):
+            async with program(tmp_path, port, discovery=f"127.0.0.1:{discovery_port}"):
                 assert await get(port, "/up") == 200 and time.monotonic() - began < 5
         server.close()
 
     run(case())
 
 
-def test_the_key_by_which_workers_discard_repeats_is_passed_on_and_bounded(tmp_path: Path) -> None:
-    """Where a class is guarded, its clients send one, and the same with each of their tries."""
+def test_the_idempotency_key_is_passed_on_and_limited_in_length(tmp_path: Path) -> None:
+    """Clients of a guarded class send a key, the same with each retry; workers use it to discard repeats."""
     async def case() -> None:
         port, count = free_port(), Counter[bytes]()
         worker = HttpWorker("s-1", count, lambda: port)
@@ -500,7 +507,7 @@
     run(case())
 
 
-def test_an_id_that_is_open_or_has_ended_is_not_taken_again(tmp_path: Path) -> None:
+def test_an_id_that_is_open_or_has_ended_is_refused(tmp_path: Path) -> None:
     async def case() -> None:
         port, count = free_port(), Counter[bytes]()
         worker = HttpWorker("s-1", count, lambda: port)
@@ -518,7 +525,7 @@
     run(case())
 
 
-def test_what_is_not_a_job_is_answered_with_its_status(tmp_path: Path) -> None:
+def test_invalid_requests_are_answered_with_their_status(tmp_path: Path) -> None:
     async def case() -> None:
         port = free_port()
         async with program(tmp_path, port):
@@ -544,20 +551,20 @@
     ({"settings": {**SETTINGS, "tickUs": "x"}}, "bad setting: tickUs"), ({"limits": [1]}, "objects"),
     ({"console": "127.0.0.1"}, "console is no address"),
     ({"settings": {**SETTINGS, "caps": {}}}, "missing setting: caps.maxAttempts"),
-    ({"listen": f"127.0.0.1:{TAKEN[1]}"}, "cannot listen"), (b"{", "not JSON"), (b"[]", "not an object")])
-def test_a_bad_configuration_is_one_plain_line(tmp_path: Path, change: Any, words: str) -> None:
+    ({"listen": f"127.0.0.1:{USED_PORT[1]}"}, "cannot listen"), (b"{", "not JSON"), (b"[]", "not an object")])
+def test_an_invalid_configuration_is_reported_in_one_line(tmp_path: Path, change: Any, words: str) -> None:
     path = tmp_path / "config.json"
     if isinstance(change, bytes):
         path.write_bytes(change)
     else:
-        path.write_text(json.dumps(given(free_port()) | change))
+        path.write_text(json.dumps(platform_config(free_port()) | change))
     done = subprocess.run([sys.executable, "-m", "hazellead"], cwd=ROOT, env={"GW_CONFIG": str(path)},
                           capture_output=True, text=True, timeout=20, check=False)
     assert done.returncode == 2 and words in done.stderr and done.stderr.count("\n") == 1
 
 
-def test_a_thousand_servers_fit_in_the_least_memory_whole_and_as_changes(tmp_path: Path) -> None:
-    """1,024 servers, indented, in pieces of odd lengths; a list over the limit changes nothing."""
+def test_a_thousand_workers_fit_in_the_least_memory_as_a_full_list_and_as_changes(tmp_path: Path) -> None:
+    """1,024 workers, as indented JSON, in pieces of odd lengths; a list over the size limit is ignored."""
 
     async def case() -> None:
         port, count, asked, most = free_port(), Counter[bytes](), list[str](), Limits().worker_list
@@ -585,16 +592,17 @@
                         await asyncio.sleep(0.0005)
 
         async with worker.serving():
-            server = await asyncio.start_server(discovery, "127.0.0.1", told := free_port())
+            server = await asyncio.start_server(discovery, "127.0.0.1", discovery_port := free_port())
             limits = {"sockets": 256, "memory_mb": 32}
-            async with program(tmp_path, port, discovery=f"127.0.0.1:{told}", limits=limits) as process:
+            async with program(
+                    tmp_path, port, discovery=f"127.0.0.1:{discovery_port}", limits=limits) as process:
                 while b"discovery_failed" not in (line := await process.stderr.readline()):
                     assert line, "ended"
                 assert b"list over 1048576 bytes" in line
                 assert [a.split("index=")[1].split("&")[0] for a in asked[:3]] == ["1", "5", "6"]
                 for n in range(20):
                     answer = await http_post(port, "/post-payment", b"%d" % n, HEADERS.format(f"a{n}"))
-                    assert answer[0] == 200  # by the only one that does not drain
+                    assert answer[0] == 200  # by the only worker that does not drain
                 status = Path(f"/proc/{process.pid}/status").read_text()
                 (peak,) = [int(row.split()[1]) for row in status.splitlines() if row.startswith("VmHWM")]
                 assert peak < 32 * 1024
--- a/tests/test_shutdown_refusals.py
+++ b/tests/test_shutdown_refusals.py
@@ -1,10 +1,10 @@
 """After SIGTERM, jobs that would still run at the end of the process are refused at once.
 
-A scheduler that is restarted with nothing to replace it took jobs for 2.5 s after SIGTERM whatever their run
-times, and failed those still out at 3.6 s: where tasks take minutes, 59 of 60 taken in 5 s were failed
-(``make capacity``, run ``restarted``). Nothing held a job's expected run against the end that had been
-called: ``Scheduler.submit`` looked only whether that was over. Evidence: without the mend five of the six
-tests below fail; the program has not answered 0.5 s after the request.
+A scheduler restarted without a successor accepted jobs for 2.5 s after SIGTERM whatever their run times, and
+failed those still open at 3.6 s. Where jobs take minutes, 59 of 60 accepted in 5 s were failed
+(``make capacity``, run ``restarted``). ``Scheduler.submit`` checked only whether that time was over, and did
+not compare a job's expected run time with the time left. Without the fix five of the six tests below fail;
+the program has not answered 0.5 s after the request.
 """
 
 import asyncio
@@ -32,7 +32,7 @@
 
 
 class Case:
-    """A scheduler with two classes of jobs and eight workers that begin each job at once."""
+    """A scheduler with two job classes and eight workers that begin each job at once."""
 
     def __init__(self) -> None:
         self.time, self.worker = VirtualTime(), Worker()
@@ -81,7 +81,7 @@
     assert running.final == ["failed"], "it may have run"
 
 
-def test_short_jobs_and_those_of_which_nothing_is_known_are_taken_as_before() -> None:
+def test_short_jobs_and_jobs_of_unknown_run_time_are_still_accepted() -> None:
     case = Case()
     case.served_after(0.5)
     case.scheduler.end_by(case.time.now() + END)
@@ -93,17 +93,17 @@
     assert not case.submit(1).final
 
 
-def test_a_held_job_that_would_outlast_the_end_is_refused_when_the_end_is_called() -> None:
+def test_a_waiting_job_that_would_outlast_the_end_is_refused_when_shutdown_begins() -> None:
     case = Case()
     case.served_after(60)
-    case.worker.expired = True  # nothing is sent, so jobs are held
-    held, other = case.submit(0), case.submit(1)
+    case.worker.expired = True  # nothing is sent, so jobs wait
+    waiting, other = case.submit(0), case.submit(1)
     case.time.run(20 * MS)
     case.scheduler.end_by(case.time.now() + END)
-    assert held.final == ["refused"] and not other.final
+    assert waiting.final == ["refused"] and not other.final
 
 
-def test_where_another_process_goes_on_with_them_they_are_taken() -> None:
+def test_jobs_that_outlast_the_end_are_accepted_if_a_successor_continues_them() -> None:
     case = Case()
     case.served_after(60)
     case.scheduler.passes_on = True
@@ -111,7 +111,7 @@
     assert not case.start().final
 
 
-def test_the_program_refuses_after_sigterm_what_its_end_would_cut_off(tmp_path: Path) -> None:
+def test_after_sigterm_the_program_refuses_jobs_that_its_end_would_cut_off(tmp_path: Path) -> None:
     async def case() -> None:
         port, count = free_port(), Counter[bytes]()
         worker = HttpWorker("s-1", count, lambda: port)
