--- a/hazellead/__main__.py
+++ b/hazellead/__main__.py
@@ -132,16 +132,16 @@
 
             self.peers = assemble(operator_config.peers, self.scheduler, configuration, clock)
 
-    async def start(self, hurry: asyncio.Event | None = None) -> None:
+    async def start(self, interrupted: asyncio.Event | None = None) -> None:
         """Become ready once the list of workers has come and, with peers, what they know.
 
-        Each wait has a time limit; the wait for the list ends also when ``hurry`` is set.
+        Each wait has a time limit; the wait for the list also ends when ``interrupted`` is set.
         """
         configuration = self.configuration
         if self.watch:
             # Lists come on a watch whether the settings say that they are asked for or pushed.
             self.watch.subscribe()
-            await self.watch.first_list(self.limits.first_list, hurry)
+            await self.watch.first_list(self.limits.first_list, interrupted)
         if self.peers:
             await self.peers.start()
         if self.handover:
@@ -305,15 +305,15 @@
 
     ``early_signals`` has the SIGHUPs that came before this call; they cause one reload after the start.
     """
-    loop, terminated, hurry = asyncio.get_running_loop(), asyncio.Event(), asyncio.Event()
+    loop, terminated, interrupted = asyncio.get_running_loop(), asyncio.Event(), asyncio.Event()
 
     def request_end() -> None:
         terminated.set()
-        hurry.set()
+        interrupted.set()
 
     def note_early() -> None:
         early_signals.append(signal.SIGHUP)
-        hurry.set()
+        interrupted.set()
 
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, request_end)
@@ -325,7 +325,7 @@
 
         configuration, predecessor = await handover.ask_predecessor(configuration, configuration.handover)
     program = Program(configuration, operator_config, predecessor)
-    await program.start(hurry)
+    await program.start(interrupted)
 
     def reload() -> None:
         try:
--- a/hazellead/lifecycle/channel.py
+++ b/hazellead/lifecycle/channel.py
@@ -31,7 +31,7 @@
 class Channel:
     """One end of the connection between two processes.
 
-    ``on_message`` is called with each message and its sockets, and must see to their closing.
+    ``on_message`` is called with each message and its sockets, and has to close these.
     """
 
     def __init__(
--- a/hazellead/lifecycle/handover.py
+++ b/hazellead/lifecycle/handover.py
@@ -34,12 +34,12 @@
     """Time limits of the hand-over's steps, and intervals between repeated steps."""
 
     connect: timedelta = timedelta(seconds=1)
-    offer: timedelta = timedelta(seconds=2)  # from hello to the answer
+    offer: timedelta = timedelta(seconds=2)  # for hello, and for the answer to it
     build: timedelta = timedelta(seconds=10)  # from the offer to ready: the new process builds its parts
-    commit: timedelta = timedelta(seconds=2)
+    commit: timedelta = timedelta(seconds=2)  # for commit, and for started after it
     retry_interval: timedelta = timedelta(milliseconds=200)  # while the other cannot be replaced yet
     retry_limit: timedelta = timedelta(seconds=4)  # from the first attempt; none begins after it
-    pass_on_interval: timedelta = timedelta(milliseconds=20)  # between passes over the open connections
+    pass_on_interval: timedelta = timedelta(milliseconds=20)  # between rounds of passing work on
     flush: timedelta = timedelta(milliseconds=500)  # for the last messages of a process that exits
     call_back: timedelta = timedelta(seconds=1)  # for the answer to a forwarded call-back
     job_decision: timedelta = timedelta(milliseconds=500)  # for the new process's answer to a batch of jobs
--- a/hazellead/lifecycle/messages.py
+++ b/hazellead/lifecycle/messages.py
@@ -30,20 +30,20 @@
     descriptors: int = 0
 
     def text(self, key: str) -> str:
-        """Return the string at ``key`` of the body; raises MessageError if it is none."""
+        """Return the string at ``key`` of the body; raises MessageError if it is not one."""
         if not isinstance(value := self.body.get(key), str):
             raise MessageError(f"{self.kind}.{key} is not a string")
         return value
 
     def texts(self, key: str) -> list[str]:
-        """Return the list of strings at ``key`` of the body; raises MessageError if it is none."""
+        """Return the list of strings at ``key`` of the body; raises MessageError if it is not one."""
         value = self.body.get(key)
         if not isinstance(value, list) or not all(isinstance(item, str) for item in value):
             raise MessageError(f"{self.kind}.{key} is not a list of strings")
         return value
 
     def number(self, key: str) -> int:
-        """Return the non-negative integer at ``key`` of the body; raises MessageError if it is none."""
+        """Return the non-negative integer at ``key`` of the body; raises MessageError if it is not one."""
         value = self.body.get(key)
         if isinstance(value, bool) or not isinstance(value, int) or value < 0:
             raise MessageError(f"{self.kind}.{key} is not a non-negative integer")
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -119,15 +119,15 @@
         return parse_metrics((await ask(self.consoles[i]))[1])[name]
 
 
-class Successor:
-    """A test double of a successor: replaces a scheduler process and sends what the test says."""
+class OtherProcess:
+    """A test double of the process at the other end of a hand-over, here a successor."""
 
     def __init__(self, site: Site, *, takes_jobs: bool = True) -> None:
         self.site, self.takes_jobs = site, takes_jobs
         self.received: asyncio.Queue[tuple[Message, list[socket.socket]]] = asyncio.Queue()
         self.ended: list[str] = []
 
-    async def take_over(self) -> "Successor":
+    async def take_over(self) -> "OtherProcess":
         sock = await channel.connect(self.site.path, 5)
         self.channel = Channel(sock, lambda m, s: self.received.put_nowait((m, s)), self.ended.append)
         hello = {"takes_jobs": True} if self.takes_jobs else {}
@@ -240,10 +240,10 @@
 
 async def _hand_over(
     site: Site, *identities: str, takes_jobs: bool = True,
-) -> tuple[Any, list[Client], Successor]:
+) -> tuple[Any, list[Client], OtherProcess]:
     old = await site.start()
     clients = await site.open(*identities)
-    successor = await Successor(site, takes_jobs=takes_jobs).take_over()
+    successor = await OtherProcess(site, takes_jobs=takes_jobs).take_over()
     old.send_signal(signal.SIGTERM)
     return old, clients, successor
 
@@ -318,7 +318,7 @@
         clients.append(await Client(site.port).post(f"n{i}", body))
         await until(lambda body=body: site.postings[body])
         await asyncio.sleep(0.02)  # for its start, as in Site.open
-    successor = await Successor(site).take_over()
+    successor = await OtherProcess(site).take_over()
     old.send_signal(signal.SIGTERM)
     offered = list[str]()
     while len(offered) < 40:
@@ -373,8 +373,8 @@
 
 # Predecessors that fail the new process.
 
-class Predecessor(Successor):
-    """A test double of a process that a real one replaces."""
+class Predecessor(OtherProcess):
+    """A test double of the process that a real one replaces."""
 
     async def serve(self, start: Any) -> Any:
         """Let the process of the program that ``start`` begins replace this one; return that process."""
