--- a/hazellead/lifecycle/handover_roles.py
+++ b/hazellead/lifecycle/handover_roles.py
@@ -97,8 +97,8 @@
     def enable_job_passing(self) -> None:
         """Note that the successor can continue open jobs."""
 
-    def park_jobs(self, most: int) -> list[tuple[PassedJob, socket.socket]]:
-        """Park up to ``most`` jobs that would outlast this process; the sockets are copies."""
+    def park_jobs(self, limit: int) -> list[tuple[PassedJob, socket.socket]]:
+        """Park up to ``limit`` jobs that would outlast this process; the sockets are copies."""
 
     def settle_parked(self, identities: Sequence[str], *, refused: bool) -> None:
         """Forget these of the parked jobs, which the successor now owns, and continue with the others.
--- a/hazellead/platform/handover.py
+++ b/hazellead/platform/handover.py
@@ -190,8 +190,8 @@
         """From now on pass on the jobs that would not be answered by ``end``."""
         self._answer_by = end
 
-    def park_jobs(self, most: int) -> list[tuple[PassedJob, socket.socket]]:
-        """Park up to ``most`` jobs that would outlast this process, for one batch; the sockets are copies.
+    def park_jobs(self, limit: int) -> list[tuple[PassedJob, socket.socket]]:
+        """Park up to ``limit`` jobs that would outlast this process, for one batch; the sockets are copies.
 
         Returns none once the successor's decision might come too late. Jobs that can be answered before the
         end stay here: passing them gains nothing.
@@ -201,7 +201,7 @@
             return batch
         size = 0
         for connection in list(self._server.connections):
-            if len(batch) == most or size > _MAX_BATCH_BYTES:
+            if len(batch) == limit or size > _MAX_BATCH_BYTES:
                 break
             if (exchange := connection.exchange) is None or (number := exchange.job) is None:
                 continue
@@ -392,10 +392,11 @@
         log.warning("handover_refused", reason=str(error))
         predecessor.abandon()
         return config, None
-    told = predecessor.offer_body.get("told")
-    if isinstance(told, dict) and config.discovery:
+    worker_list = predecessor.offer_body.get("told")
+    if isinstance(worker_list, dict) and config.discovery:
         # Revision 0: the predecessor had switched to its present discovery and had no list from it yet.
         same_discovery = (
-            predecessor.offer_body.get("discovery") == written(config.discovery) and bool(told.get("rev")))
-        config = replace(config, known=told, known_elsewhere=not same_discovery)
+            predecessor.offer_body.get("discovery") == written(config.discovery) and bool(
+                worker_list.get("rev")))
+        config = replace(config, known=worker_list, known_elsewhere=not same_discovery)
     return config, predecessor
--- a/tests/test_handover.py
+++ b/tests/test_handover.py
@@ -326,9 +326,9 @@
 
 @examples(st.lists(st.tuples(st.text(max_size=9), BODIES, st.integers(0, 32)), max_size=6), st.data())
 def test_messages_are_decoded_however_the_stream_is_split(
-    some: list[tuple[str, Any, int]], data: st.DataObject,
+    messages: list[tuple[str, Any, int]], data: st.DataObject,
 ) -> None:
-    sent = [Message(kind, body, count) for kind, body, count in some]
+    sent = [Message(kind, body, count) for kind, body, count in messages]
     stream, reader, got = b"".join(map(encode, sent)), FrameReader(), []
     while stream:
         cut = data.draw(st.integers(1, len(stream)))
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -506,18 +506,18 @@
 
 
 def test_a_class_and_a_tenant_of_other_settings_get_new_numbers_and_are_not_listed() -> None:
-    held = generations.first(BASE, ["one"], ["x", "y"])
-    same, *numbers = generations.keep(held, held.rows[0], "y")
-    assert same is held and numbers == [0, 1]
+    current = generations.first(BASE, ["one"], ["x", "y"])
+    same, *numbers = generations.keep(current, current.rows[0], "y")
+    assert same is current and numbers == [0, 1]
     rules = api.JobClass(1, 2, api.Effect.KEYED, max_attempts=2)
-    kept, job_class, tenant = generations.keep(held, ("one", rules), "gone")
-    assert kept.settings.classes[job_class] == rules and kept.fresh == {job_class}
-    assert job_class not in kept.classes
-    assert kept.settings.tenants[tenant].portion == generations.GONE and tenant not in kept.tenants
-    assert kept.rows[:1] == held.rows[:1] and kept.number == held.number
+    extended, job_class, tenant = generations.keep(current, ("one", rules), "gone")
+    assert extended.settings.classes[job_class] == rules and extended.fresh == {job_class}
+    assert job_class not in extended.classes
+    assert extended.settings.tenants[tenant].portion == generations.GONE and tenant not in extended.tenants
+    assert extended.rows[:1] == current.rows[:1] and extended.number == current.number
     with pytest.raises(generations.TooManyError):
         for i in range(generations.MOST):
-            kept, _, _ = generations.keep(kept, (f"k{i}", rules), "x")
+            extended, _, _ = generations.keep(extended, (f"k{i}", rules), "x")
 
 
 def _adopted_job(effect: api.Effect, *made: api.Made) -> Referee:
--- a/tests/test_program.py
+++ b/tests/test_program.py
@@ -89,8 +89,8 @@
                 first, headers, _ = await http_message(open_reader)
                 return int(first.split()[1]), headers
 
-            held = [asyncio.ensure_future(http_post(port, "/post-payment", name.encode(), headers))
-                    for name, headers in ((n, HEADERS.format("1" + n)) for n in "ab")]
+            open_jobs = [asyncio.ensure_future(http_post(port, "/post-payment", name.encode(), headers))
+                         for name, headers in ((n, HEADERS.format("1" + n)) for n in "ab")]
             await until(lambda: count[b"a"] and count[b"b"])
             process.send_signal(signal.SIGTERM)
             began = asyncio.get_running_loop().time()
@@ -110,8 +110,8 @@
             status, headers, _ = await http_post(port, "/post-payment", b"c", HEADERS.format("33"))
             assert status == 429 and float(headers["retry-after"]) > 0 and not count[b"c"]
             assert await worker.call_back("1a", state="done", result="ra") == 200  # still accepted
-            assert (await held[0])[::2] == (200, b"ra")
-            assert (await held[1])[0] == 502  # it may have run; its client would wait for 5 s
+            assert (await open_jobs[0])[::2] == (200, b"ra")
+            assert (await open_jobs[1])[0] == 502  # it may have run; its client would wait for 5 s
             assert 3.4 < asyncio.get_running_loop().time() - began < 3.7
             assert await asyncio.wait_for(process.wait(), 10) == 0
 
