--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -119,7 +119,7 @@
         assert running.program.gearman
         await running.program.server.finish()
         await running.program.gearman.finish()
-        running.program.sweeper.stop()
+        running.program.sweep_timer.stop()
 
 
 class GearmanPeer:
