--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -16,7 +16,7 @@
 from hazellead.__main__ import Program
 from hazellead.gearman.packets import Packet, Parser, Type, encode_packet
 from hazellead.limits import Limits
-from hazellead.operators import load
+from hazellead.operator_config import load
 
 ROOT = Path(__file__).parents[1]
 STEADY = settings(max_examples=50, stateful_step_count=30)  # Hypothesis settings of property tests
@@ -119,7 +119,7 @@
         assert running.program.gearman
         await running.program.server.finish()
         await running.program.gearman.finish()
-        running.program.sweeper.stop()
+        running.program.sweep_timer.stop()
 
 
 class GearmanPeer:
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 from loopback import STEADY, HttpWorker, free_port, http_post, run, until
-from test_console import ask, read
+from test_console import ask, parse_metrics
 from test_program import HEADERS, SETTINGS, program
 
 from hazellead.core import generations
@@ -82,7 +82,7 @@
             assert self.now.settings.tenants[tenant].portion == 0.5
         shares = [t.share for t in self.dispatcher.tenants]
         assert len(shares) == len(self.now.tenant_rows) and abs(sum(shares) - 1) < 1e-9 and min(shares) > 0
-        assert len(self.dispatcher.run_us) == len(self.now.class_rows)
+        assert len(self.dispatcher.class_run_us) == len(self.now.class_rows)
 
 
 Numbers.TestCase.settings = STEADY
@@ -118,11 +118,11 @@
         dispatcher.handle(began, [api.JobBegan(i, 0, push.worker)])
         dispatcher.handle(began + 300_000, [
             api.AttemptEnded(i, 0, push.worker, api.Outcome.SERVED, 304_000, True)])
-    assert dispatcher.run_us[0] > 250_000
+    assert dispatcher.class_run_us[0] > 250_000
     settings = api.Settings((KINDS[2], KINDS[5]), max_attempts=2)
     now = generations.next_after(before, settings, ["post", "v2"], [], (), ())
     dispatcher.handle(17_000_000, [api.SettingsChanged(now.settings, now.fresh)])
-    assert now.fresh and dispatcher.run_us[now.class_ids[1]] == dispatcher.mean_run > 250_000
+    assert now.fresh and dispatcher.class_run_us[now.class_ids[1]] == dispatcher.mean_run_us > 250_000
 
 
 def test_too_many_tenants_are_refused_and_class_numbers_are_reused() -> None:
@@ -205,12 +205,12 @@
             worker.states = [{"state": "done"}]
             assert await post("refund", "3") == (200, b"posted 3") and (await post("v2", "4"))[0] == 200
             assert (await post("post-payment", "5"))[0] == 404
-            metrics = read((await ask(console))[1])
+            metrics = parse_metrics((await ask(console))[1])
             assert metrics["replies.refund.success"] == metrics["replies.v2.success"] == 1 and (
                 metrics["concurrent"] == 1)
             assert metrics["reload_success"] == 1 and metrics["reload_failure"] >= 40 + len(INVALID)
             assert await worker.call_back("1", state="done", result="r") == 200
             assert await open_post == (200, b"r")
-            assert read((await ask(console))[1])["replies.post-payment.success"] == 1
+            assert parse_metrics((await ask(console))[1])["replies.post-payment.success"] == 1
 
     run(case())
