--- a/hazellead/platform/discovery.py
+++ b/hazellead/platform/discovery.py
@@ -466,7 +466,7 @@
             return
         source.older_since = source.older_since or self._clock.now()
         if self._clock.now() - source.older_since < self._limits.older_list_wait:
-            raise ListError(f"older than the current list ({server_list.version} < {source.version})")
+            raise ListError(f"older than the list held ({server_list.version} < {source.version})")
 
     def _apply(self, server_list: ServerList, *, cached: bool = False) -> None:
         """Update the known servers and pass the list to the listener."""
