--- a/hazellead/lab/capacity/members.py
+++ b/hazellead/lab/capacity/members.py
@@ -1,7 +1,8 @@
 """Members that talk, in virtual time: schedulers alone with their stand-ins, joined by a modelled network.
 
 Each member is a real ``peers.Node``; what it tells is what its own scheduler's decisions have seen, by the
-same ``Pupil`` that a running program has. Messages are really encoded; bytes are counted with TLS's own.
+same ``SchedulerSync`` that a running program has. Messages are really encoded; bytes are counted with those
+of TLS.
 """
 
 from dataclasses import dataclass, replace
@@ -13,9 +14,9 @@
 from hazellead.lab.fleet import US
 from hazellead.lab.mesh import Mesh, MeshNetwork, Peer
 from hazellead.lab.time import VirtualTime
-from hazellead.learning.door import Names
+from hazellead.learning.conversion import Names
 from hazellead.learning.facts import Fact, LearningSettings, Origin, Topic, default_half_lives
-from hazellead.learning.pupil import Pupil
+from hazellead.learning.scheduler_sync import SchedulerSync
 from hazellead.learning.store import Batch, Knowledge
 from hazellead.peers.messages import Digest, encode
 from hazellead.snapshots import format as snapshots
@@ -42,7 +43,7 @@
         self.learning = LearningSettings(default_half_lives())
         self.mesh = Mesh(self.time, shape.seed, learning=self.learning, network=network)
         self.alone = [Alone(shape, self.time, n) for n in range(shape.schedulers)]
-        self.pupils: list[Pupil] = []
+        self.pupils: list[SchedulerSync] = []
         self.taught_ns = self.taught = self.told_ns = 0
 
     @property
@@ -62,16 +63,17 @@
         for one in self.alone:
             name = f"n{one.number}"
             peer = self.mesh.add(name, list(self.mesh.peers))
-            pupil = Pupil(peer.node.knowledge, one.scheduler, Names(*names_of(self.shape)), self.learning)
+            pupil = SchedulerSync(
+                peer.node.knowledge, one.scheduler, Names(*names_of(self.shape)), self.learning)
             self.pupils.append(pupil)
             self.time.after(self.mesh.rng.random() * TELL_US, self._tell, pupil, learn)
 
-    def _tell(self, pupil: Pupil, learn: bool) -> None:
+    def _tell(self, pupil: SchedulerSync, learn: bool) -> None:
         began = thread_time_ns()
-        pupil.tell(self.time.now_us())
+        pupil.publish(self.time.now_us())
         told = thread_time_ns()
         if learn:
-            self.taught += pupil.learn(self.time.now_us())
+            self.taught += pupil.adopt(self.time.now_us())
             self.taught_ns += thread_time_ns() - told
         self.told_ns += told - began
         self.time.after(TELL_US, self._tell, pupil, learn)
@@ -106,7 +108,7 @@
         """
         began = self.time.now_us()
         known = [p.node.knowledge for p in self.peers]
-        told = {k.me: k.digest().get(k.me, 0) for k in known}
+        told = {k.own_origin: k.digest().get(k.own_origin, 0) for k in known}
         while self.time.now_us() - began < most_s * US:
             digests = [p.node.knowledge.digest() for p in self.peers]
             if all(d.get(origin, 0) >= seq for d in digests for origin, seq in told.items()):
@@ -125,7 +127,7 @@
     def snapshot_bytes(self) -> float:
         """Return the size of a snapshot, on average."""
         return sum(len(snapshots.encode(snapshots.Snapshot(
-            "capacity", p.node.name, self.time.now_us(), p.node.knowledge.everything())))
+            "capacity", p.node.name, self.time.now_us(), p.node.knowledge.all_batches())))
             for p in self.peers) / len(self.peers)
 
 
@@ -139,7 +141,7 @@
     knowledge = Knowledge(Origin("n0", 1), LearningSettings(default_half_lives()), Random(1))
     for n in range(origins):
         fact = Fact(int(Topic.FACTOR), "", 0, 1.0, 1.0, 1, 1)
-        knowledge.take(2, [Batch(Origin(f"n{n % 9}", 1_767_225_600_000_000 + n), 1 + 997 * n, [fact])])
+        knowledge.merge(2, [Batch(Origin(f"n{n % 9}", 1_767_225_600_000_000 + n), 1 + 997 * n, [fact])])
     return len(encode(Digest(knowledge.fingerprint(), 2, list(knowledge.digest().items()))))
 
 
--- a/hazellead/lab/capacity/table.py
+++ b/hazellead/lab/capacity/table.py
@@ -163,12 +163,15 @@
         "`peers/`, `learning/`, `snapshots/`",
         ("state", "state_bytes", *_FLOW, "memory", "descriptors"),
     ),
-    Part("member", "telling", "Member: telling facts", "`learning/pupil.py`, `learning/store.py`", ("cpu",)),
+    Part(
+        "member", "telling", "Member: telling facts",
+        "`learning/scheduler_sync.py`, `learning/store.py`", ("cpu",),
+    ),
     Part(
         "member",
         "learning",
         "Member: taking facts over",
-        "`learning/pupil.py`, `learning/merge.py`",
+        "`learning/scheduler_sync.py`, `learning/merge.py`",
         ("cpu",),
     ),
     Part(
--- a/hazellead/lab/learners.py
+++ b/hazellead/lab/learners.py
@@ -6,9 +6,9 @@
 from hazellead.lab.fleet import TENANTS
 from hazellead.lab.mesh import Mesh, MeshNetwork, Peer
 from hazellead.lab.world import Instance, World
-from hazellead.learning.door import Names
+from hazellead.learning.conversion import Names
 from hazellead.learning.facts import LearningSettings, default_half_lives
-from hazellead.learning.pupil import Learner, Pupil
+from hazellead.learning.scheduler_sync import Learner, SchedulerSync
 from hazellead.peers.node import NodeSettings
 
 NAMES = Names(("post-payment",), tuple(name for name, _ in TENANTS))
@@ -20,7 +20,7 @@
 
     life: int
     peer: Peer
-    pupil: Pupil
+    pupil: SchedulerSync
 
 
 class Learners:
@@ -45,7 +45,7 @@
         others = [i.name for i in self.world.instances if i is not instance and i.up]
         peer = self.mesh.add(instance.name, others)
         scheduler = self._wrap(instance, instance.scheduler)
-        pupil = Pupil(peer.node.knowledge, scheduler, self._names, self._learning)
+        pupil = SchedulerSync(peer.node.knowledge, scheduler, self._names, self._learning)
         lesson = self.lessons[instance.number] = _Lesson(instance.life, peer, pupil)
         instance.up = False
         began = self.world.time.now_us()
@@ -57,7 +57,7 @@
         now = self.world.time.now_us()
         if len(lesson.peer.node.answered) >= wanted or now - began >= self._start_us:
             self.waited_us.append(now - began)
-            lesson.pupil.learn(now)
+            lesson.pupil.adopt(now)
             instance.up = True
             self.world.time.after(self._every_us * self.world.rng.random(), self._learn, instance, lesson)
         else:
@@ -68,6 +68,6 @@
             self.mesh.kill(lesson.peer)
             return
         now = self.world.time.now_us()
-        lesson.pupil.tell(now)
-        lesson.pupil.learn(now)
+        lesson.pupil.publish(now)
+        lesson.pupil.adopt(now)
         self.world.time.after(self._every_us, self._learn, instance, lesson)
--- a/hazellead/lab/measure_learning.py
+++ b/hazellead/lab/measure_learning.py
@@ -23,8 +23,8 @@
 from hazellead.lab.mesh import Mesh, MeshNetwork
 from hazellead.lab.time import VirtualTime
 from hazellead.lab.world import Instance, Plan, World
-from hazellead.learning.facts import Draft, Topic
-from hazellead.learning.pupil import Learner
+from hazellead.learning.facts import Observation, Topic
+from hazellead.learning.scheduler_sync import Learner
 
 KILL_S, DOWN_S, AFTER_S = 20.0, 0.5, 10.0
 BACK = KILL_S + DOWN_S + 0.05  # when the new one answers, learning included
@@ -168,9 +168,9 @@
     def tell(some: int) -> None:
         now = mesh.time.now_us()
         for peer in mesh.peers.values():
-            drafts = [Draft(Topic.PACE, f"w-{mesh.rng.randrange(1000)}", 0, 0.5 + mesh.rng.random(),
+            drafts = [Observation(Topic.PACE, f"w-{mesh.rng.randrange(1000)}", 0, 0.5 + mesh.rng.random(),
                             1 + 40 * mesh.rng.random(), now) for _ in range(some)]
-            peer.node.tell(now, drafts)
+            peer.node.publish(now, drafts)
 
     # Work goes on: each instance sees some of its workers change, twice a second.
     for _ in range(20):
@@ -185,8 +185,8 @@
     spreads = []
     for k in range(5):
         source, now = mesh.peers[f"n{7 * k % count}"], mesh.time.now_us()
-        source.node.tell(now, [Draft(Topic.PACE, f"new-{k}", 0, 2.0, 50.0, now)])
-        while (knows := sum(bool(list(p.node.knowledge.about((Topic.PACE, f"new-{k}"))))
+        source.node.publish(now, [Observation(Topic.PACE, f"new-{k}", 0, 2.0, 50.0, now)])
+        while (knows := sum(bool(list(p.node.knowledge.facts_for((Topic.PACE, f"new-{k}"))))
                             for p in mesh.peers.values())) < 0.99 * count:
             tell(1)
             mesh.time.run_us(100_000)
@@ -271,17 +271,18 @@
         # What one that starts now would take over, with the liar's word and without it.
         from hazellead.lab.learners import NAMES
         from hazellead.lab.mesh import Peer
-        from hazellead.learning.door import Reader
+        from hazellead.learning.conversion import EstimateReader
 
         peer: Peer = learners.lessons[0].peer
         knowledge, now = peer.node.knowledge, world.time.now_us()
-        reader, settings = Reader(knowledge, learners.mesh.learning, NAMES), learners.mesh.learning
+        reader, settings = EstimateReader(knowledge, learners.mesh.learning, NAMES), learners.mesh.learning
         for spec in world.fleet:
-            by = {o.name: f for o, f in knowledge.about((Topic.PACE, spec.name)) if o != knowledge.me}
+            by = {o.name: f for o, f in knowledge.facts_for((Topic.PACE, spec.name))
+                  if o != knowledge.own_origin}
             if len(by) < 3 or "n4" not in by:
                 continue
             told = reader.estimate(Topic.PACE, spec.name, 0, now, 1.0, 16.0).value
-            liar = next(o for o, _ in knowledge.about((Topic.PACE, spec.name)) if o.name == "n4")
+            liar = next(o for o, _ in knowledge.facts_for((Topic.PACE, spec.name)) if o.name == "n4")
             held = knowledge._by_key[int(Topic.PACE), spec.name].pop(liar)
             honest = reader.estimate(Topic.PACE, spec.name, 0, now, 1.0, 16.0).value
             knowledge._by_key[int(Topic.PACE), spec.name][liar] = held
@@ -320,7 +321,7 @@
     from hazellead.core.clock import Clock
     from hazellead.decide.known import KnownWorker
     from hazellead.lab.fleet import draw_fleet, settings_for
-    from hazellead.learning.door import Names
+    from hazellead.learning.conversion import Names
     from hazellead.peers.config import read
     from hazellead.peers.service import PeerService
     from hazellead.peers.transport import PeerLimits
--- a/hazellead/learning/__init__.py
+++ b/hazellead/learning/__init__.py
@@ -1,1 +1,1 @@
-"""What instances know, as facts that travel: pure, with no clock, no sockets and no files."""
+"""Facts that instances share about workers, classes and tenants. No clock, sockets or files are used here."""
--- a/hazellead/learning/facts.py
+++ b/hazellead/learning/facts.py
@@ -1,8 +1,8 @@
-"""Facts: what one instance has itself observed, when, and how much evidence that rests on.
+"""Facts that instances exchange: an estimate that one instance made itself, when, and on how much evidence.
 
-A fact never holds what its origin learned from others, so evidence is counted once however it travels. Times
-are microseconds in the clock of whoever holds the fact: a receiver shifts them by the difference of the two
-clocks at the exchange, so instances whose clocks are hours apart still agree on a fact's age.
+A fact never includes what its origin learned from other instances, so the same evidence is counted once,
+whichever way it arrives. Times are microseconds in the clock of the instance that stores the fact: a receiver
+adds the offset between the two clocks, so instances whose clocks are hours apart agree on a fact's age.
 """
 
 import math
@@ -14,112 +14,117 @@
 
 
 class Topic(IntEnum):
-    """What a fact is about. The numbers travel and are never used again for something else."""
+    """The quantity that a fact estimates. The numbers are sent to peers, so none may ever be reused."""
 
-    PACE = 1  # of a worker: run times there over run times anywhere
-    DELAY = 2  # of a worker: how long jobs waited for their start, in microseconds
-    SLOTS = 3  # of a worker
-    BLAME = 4  # of a worker: what its failures count
-    BROKE = 5  # of a worker: it broke without word of the list, and is cold from then on
-    DRAIN = 6  # of a worker: its drain was told, for the start in ``about``
-    RUN = 7  # of a class: its mean run time in microseconds
-    DEMAND = 8  # of an instance and tenant: slots a second that its clients ask for
-    FACTOR = 9  # of the installation: the rate's factor that overload has left
+    PACE = 1  # worker: its run times relative to the mean of all workers
+    DELAY = 2  # worker: how long jobs waited for their start, in microseconds
+    SLOTS = 3  # worker: concurrent jobs
+    BLAME = 4  # worker: decayed count of failures
+    BROKE = 5  # worker: it failed without a change in the worker list, and counts as cold from then on
+    DRAIN = 6  # worker: it announced a drain, during the run that began at ``worker_started_us``
+    RUN = 7  # job class: mean run time in microseconds
+    DEMAND = 8  # instance and tenant: slots per second that the instance's clients ask for
+    FACTOR = 9  # installation: the rate factor, which overload reduces
 
 
-CAUTION = frozenset({Topic.BLAME, Topic.BROKE, Topic.DRAIN})
-OF_WORKERS = frozenset({Topic.PACE, Topic.DELAY, Topic.SLOTS}) | CAUTION
+CAUTION_TOPICS = frozenset({Topic.BLAME, Topic.BROKE, Topic.DRAIN})
+WORKER_TOPICS = frozenset({Topic.PACE, Topic.DELAY, Topic.SLOTS}) | CAUTION_TOPICS
 
-# Values outside these are no estimate that an instance could have made.
-RANGES: dict[int, tuple[float, float]] = {
+# A value outside its topic's range is rejected: no instance can have estimated it.
+VALUE_RANGES: dict[int, tuple[float, float]] = {
     Topic.PACE: (0.02, 50.0), Topic.DELAY: (0.0, 6e8), Topic.SLOTS: (0.5, 4096.0), Topic.BLAME: (0.0, 64.0),
     Topic.BROKE: (0.0, 1.0), Topic.DRAIN: (0.0, 1.0), Topic.RUN: (1.0, 3.6e9), Topic.DEMAND: (0.0, 1e6),
     Topic.FACTOR: (0.05, 100.0),
 }
-# Added to a value before its logarithm is taken, where it may be 0.
-OFFSETS: dict[int, float] = {Topic.DELAY: 50_000.0, Topic.BLAME: 0.25, Topic.BROKE: 1.0, Topic.DRAIN: 1.0,
-                             Topic.DEMAND: 0.5}
-MOST_WEIGHT = 1e6
-MOST_SUBJECT = 512
+# Added to values that may be 0 before ratios or logarithms of them are taken.
+VALUE_OFFSETS: dict[int, float] = {
+    Topic.DELAY: 50_000.0, Topic.BLAME: 0.25, Topic.BROKE: 1.0, Topic.DRAIN: 1.0, Topic.DEMAND: 0.5,
+}
+MAX_WEIGHT = 1e6
+MAX_SUBJECT_LENGTH = 512
 
 Key = tuple[int, str]  # topic and subject
 
 
 class Fact(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """One thing known. ``seq`` numbers an origin's facts in the order in which it told them."""
+    """One estimate of one subject. ``seq`` numbers an origin's facts in the order of their publication."""
 
     topic: int
     subject: str
-    about: int  # the start of the worker that it was observed of, in microseconds; 0 for other subjects
+    worker_started_us: int  # start of the worker's run that was observed; 0 for subjects other than workers
     value: float
-    weight: float  # observations that it rests on
-    observed: int  # when the newest of them was made
+    weight: float  # number of observations behind the value
+    observed_us: int  # time of the newest of these observations
     seq: int
 
     @property
     def key(self) -> Key:
-        """Return what it is a fact of."""
+        """Return the topic and the subject."""
         return self.topic, self.subject
 
 
 class Origin(msgspec.Struct, frozen=True, order=True, array_like=True, gc=False):
-    """Who observed: a member's name, and which of its lives, by the microsecond of its start."""
+    """The instance that made an observation: the member's name and when that run of it started."""
 
     name: str
-    life: int
+    started_us: int
 
 
 @dataclass(slots=True, frozen=True)
-class Draft:
-    """Something an instance has observed itself, not yet told."""
+class Observation:
+    """An estimate of this instance that has not been published as a fact. Fields as in ``Fact``."""
 
     topic: Topic
     subject: str
-    about: int
+    worker_started_us: int
     value: float
     weight: float
-    observed: int
+    observed_us: int
 
 
 @dataclass(slots=True, frozen=True)
 class LearningSettings:
-    """How knowledge fades and what one source may do. ``half_lives`` are by topic, in microseconds."""
+    """How fast facts lose weight and how far one source can move an estimate.
+
+    ``half_lives`` maps topics to microseconds.
+    """
 
     half_lives: dict[int, int]
-    clamp: float = 1.5  # factor from the median source past which a source's value is cut
-    alone: float = 4.0  # factor from the default past which fewer than three sources cannot move it
-    witnesses: int = 4  # facts of different origins kept for one key
-    most_facts: int = 20_000
-    most_origins: int = 4096  # former lives included: as many as members
-    told_at_once: int = 256  # facts that an instance tells in one step
-    news: float = 0.15  # change of a value, as a factor's logarithm, that is worth telling
-    shun: timedelta = timedelta(seconds=1)  # how long a drain that others have heard of holds without renewal
-    enabled: bool = True
+    clamp: float = 1.5  # values are clamped to this factor around the median of the sources
+    few_sources_clamp: float = 4.0  # with fewer than three sources: factor around the default value
+    witnesses: int = 4  # facts of different origins kept per key
+    max_facts: int = 20_000
+    max_origins: int = 4096  # earlier runs of members included; the same limit as for members
+    max_published: int = 256  # facts that an instance publishes in one step
+    publish_threshold: float = 0.15  # change of a value that is published, as the logarithm of the ratio
+    drain_hold: timedelta = timedelta(seconds=1)  # how long a drain reported by peers applies unless renewed
+    enabled: bool = True  # whether the facts of peers are applied
 
 
 def default_half_lives() -> dict[int, int]:
-    """Return how long each topic's facts take to lose half their weight.
+    """Return each topic's half-life in microseconds.
 
-    A worker's speed lasts; where its queue stood is news of a few seconds.
+    A worker's speed changes slowly; the length of its queue is outdated after a few seconds.
     """
     seconds = {Topic.PACE: 120, Topic.DELAY: 3, Topic.SLOTS: 120, Topic.BLAME: 4, Topic.BROKE: 30,
                Topic.DRAIN: 10, Topic.RUN: 120, Topic.DEMAND: 30, Topic.FACTOR: 10}
     return {int(topic): s * 1_000_000 for topic, s in seconds.items()}
 
 
-def usable(fact: Fact, now: int) -> bool:
-    """Say whether a fact is one that an instance could have made: known topic, sane sizes, not to come.
+def is_valid(fact: Fact, now: int) -> bool:
+    """Return whether a fact has a known topic, values in range and no time in the future.
 
-    A topic that is not known here is passed over: a newer instance may tell more than an older one takes.
+    An unknown topic is not an error: a newer instance may publish topics that this version ignores.
     """
-    bounds = RANGES.get(fact.topic)
+    bounds = VALUE_RANGES.get(fact.topic)
     return (
-        bounds is not None and len(fact.subject) <= MOST_SUBJECT and math.isfinite(fact.value)
-        and bounds[0] <= fact.value <= bounds[1] and 0 < fact.weight <= MOST_WEIGHT
-        and 0 <= fact.about < 1 << 62 and 0 < fact.seq < 1 << 62 and -(1 << 62) < fact.observed <= now
+        bounds is not None and len(fact.subject) <= MAX_SUBJECT_LENGTH and math.isfinite(fact.value)
+        and bounds[0] <= fact.value <= bounds[1] and 0 < fact.weight <= MAX_WEIGHT
+        and 0 <= fact.worker_started_us < 1 << 62 and 0 < fact.seq < 1 << 62
+        and -(1 << 62) < fact.observed_us <= now
     )
 
 
-def shifted(fact: Fact, by: int, now: int) -> Fact:
-    """Return a fact in another clock; one that would lie in the future is of now."""
-    return msgspec.structs.replace(fact, observed=min(now, fact.observed + by))
+def with_clock_offset(fact: Fact, offset_us: int, now: int) -> Fact:
+    """Return the fact with its time moved by ``offset_us``, at most to ``now``."""
+    return msgspec.structs.replace(fact, observed_us=min(now, fact.observed_us + offset_us))
--- a/hazellead/learning/store.py
+++ b/hazellead/learning/store.py
@@ -1,9 +1,10 @@
-"""The knowledge of one instance: its own facts and, of other origins, the newest it has heard.
+"""Fact store of one instance: its own facts and the newest facts received from other origins.
 
-Reconciled as Scuttlebutt does it (van Renesse, Dumitriu, Gough and Thomas, 2008): an origin numbers its
-facts in the order told, a *digest* says how far each origin's are known, a *delta* brings what is newer in
-that order, so that nothing is ever taken twice and A to B to A adds nothing. For one key only the best few
-witnesses are kept: a thousand workers and two hundred instances do not make two hundred thousand facts.
+Reconciliation follows Scuttlebutt (van Renesse, Dumitriu, Gough and Thomas, 2008): an origin numbers its
+facts in the order of publication, a *digest* lists the highest number known of each origin, and a *delta*
+contains the facts with higher numbers in that order. So no fact is merged twice, and a fact that returns to
+its origin adds nothing. Only the best few facts of different origins (witnesses) are kept per key: a thousand
+workers and two hundred instances do not make two hundred thousand facts.
 """
 
 import math
@@ -14,250 +15,271 @@
 import msgspec
 import xxhash
 
-from hazellead.learning.facts import OFFSETS, Draft, Fact, Key, LearningSettings, Origin, shifted, usable
-from hazellead.learning.merge import Said, combine, faded
-
-LEAST = 0.05  # weight under which a fact is forgotten
-OVERHEAD = 24  # bytes that a fact takes beside its subject, roughly, in a message
+from hazellead.learning.facts import (
+    VALUE_OFFSETS,
+    Fact,
+    Key,
+    LearningSettings,
+    Observation,
+    Origin,
+    is_valid,
+    with_clock_offset,
+)
+from hazellead.learning.merge import WeightedValue, combine, decayed_weight
+
+MIN_WEIGHT = 0.05  # facts with less weight are removed
+FACT_OVERHEAD_BYTES = 24  # approximate encoded size of a fact without its subject
 
 Digest = dict[Origin, int]
 
 
 class Batch(msgspec.Struct, frozen=True, array_like=True, gc=False):
-    """Facts of one origin in the order told; after them all up to ``seq`` are known."""
+    """Facts of one origin in the order of publication; with them the receiver knows all up to ``seq``."""
 
     origin: Origin
     seq: int
     facts: list[Fact]
 
 
-def _apart(topic: int, one: float, other: float) -> float:
-    """Return how far two values of a topic lie apart, as a factor's logarithm."""
-    offset = OFFSETS.get(topic, 0.0)
-    return abs(math.log((one + offset) / (other + offset)))
+def _log_distance(topic: int, first: float, second: float) -> float:
+    """Return the absolute logarithm of the ratio of two values of a topic."""
+    offset = VALUE_OFFSETS.get(topic, 0.0)
+    return abs(math.log((first + offset) / (second + offset)))
 
 
-class _Life:
-    """What is held of one origin."""
+class _OriginState:
+    """The facts of one origin, the highest number seen and when the last batch was received."""
 
-    __slots__ = ("facts", "heard", "seq")
+    __slots__ = ("facts", "received_at", "seq")
 
     def __init__(self) -> None:
-        self.seq, self.heard = 0, 0
-        self.facts: dict[Key, Fact] = {}  # in the order told
+        self.seq, self.received_at = 0, 0
+        self.facts: dict[Key, Fact] = {}  # in the order of publication
 
 
 class Knowledge:
-    """What is known, bounded in facts and in origins."""
+    """Facts by origin and by key, limited in the number of facts and of origins."""
 
-    def __init__(self, me: Origin, settings: LearningSettings, rng: Random) -> None:
-        """Know nothing."""
-        self.me, self.settings, self._rng = me, settings, rng
-        self._lives: dict[Origin, _Life] = {me: _Life()}
+    def __init__(self, own_origin: Origin, settings: LearningSettings, rng: Random) -> None:
+        """Start without facts."""
+        self.own_origin, self.settings, self._rng = own_origin, settings, rng
+        self._origins: dict[Origin, _OriginState] = {own_origin: _OriginState()}
         self._by_key: dict[Key, dict[Origin, Fact]] = defaultdict(dict)
-        self._told: dict[Key, int] = {}  # when we last told ours
-        self.count = 0
-        self.version = 0  # of what others have told; changes when something new was taken
-        self._print: int | None = None  # the fingerprint, until what is known changes
+        self._published_at: dict[Key, int] = {}  # last publication of own facts, in microseconds
+        self.count = 0  # facts of all origins
+        self.version = 0  # incremented when facts of other origins were merged
+        self._fingerprint: int | None = None  # cached until a digest entry changes
 
-    # Our own.
+    # Own facts.
 
-    def tell(self, now: int, drafts: Iterable[Draft]) -> int:
-        """Take in what this instance has observed; return how many facts were worth telling.
+    def publish(self, now: int, observations: Iterable[Observation]) -> int:
+        """Store observations of this instance as new facts; return how many were published.
 
-        A fact is told if it is new, has changed by ``news``, has doubled its evidence, or if half its
-        half-life has passed since. It is not told where enough others with as much evidence already say the
-        same.
+        An observation is published if it is new, has changed by ``publish_threshold``, rests on twice the
+        evidence, or if half its half-life has passed since the last publication. It is not published where
+        enough other origins with as much evidence already give about the same value.
         """
-        worth = []
-        for draft in drafts:
-            if draft.weight <= 0 or not (news := self._news(now, draft)):
+        publishable = []
+        for observation in observations:
+            if observation.weight <= 0 or not (priority := self._publish_priority(now, observation)):
                 continue
-            worth.append((news, draft))
-        worth.sort(key=lambda pair: -pair[0])
-        life, self._print = self._lives[self.me], None
-        for _, draft in worth[: self.settings.told_at_once]:
-            life.seq += 1
-            self._put(self.me, life, Fact(
-                int(draft.topic), draft.subject, draft.about, draft.value, draft.weight, draft.observed,
-                life.seq))
-            self._told[int(draft.topic), draft.subject] = now
-        return min(len(worth), self.settings.told_at_once)
-
-    def _news(self, now: int, draft: Draft) -> float:
-        key = (int(draft.topic), draft.subject)
-        half = self.settings.half_lives[draft.topic]
-        last = self._lives[self.me].facts.get(key)
-        if last is not None and last.about == draft.about:
-            change = _apart(draft.topic, draft.value, last.value)
-            grown = draft.weight >= 2 * last.weight and last.weight < 8
-            due = draft.observed > last.observed and now - self._told.get(key, 0) > half // 2
-            if change < self.settings.news and not grown and not due:
+            publishable.append((priority, observation))
+        publishable.sort(key=lambda pair: -pair[0])
+        state, self._fingerprint = self._origins[self.own_origin], None
+        for _, observation in publishable[: self.settings.max_published]:
+            state.seq += 1
+            self._store(self.own_origin, state, Fact(
+                int(observation.topic), observation.subject, observation.worker_started_us,
+                observation.value, observation.weight, observation.observed_us, state.seq))
+            self._published_at[int(observation.topic), observation.subject] = now
+        return min(len(publishable), self.settings.max_published)
+
+    def _publish_priority(self, now: int, observation: Observation) -> float:
+        key = (int(observation.topic), observation.subject)
+        half_life = self.settings.half_lives[observation.topic]
+        last = self._origins[self.own_origin].facts.get(key)
+        if last is not None and last.worker_started_us == observation.worker_started_us:
+            change = _log_distance(observation.topic, observation.value, last.value)
+            more_evidence = observation.weight >= 2 * last.weight and last.weight < 8
+            due = (observation.observed_us > last.observed_us
+                   and now - self._published_at.get(key, 0) > half_life // 2)
+            if change < self.settings.publish_threshold and not more_evidence and not due:
                 return 0.0
-            news = change + grown
+            priority = change + more_evidence
         else:
-            news = 2.0
-        # A new life or a caution is always told; of a steady figure a few witnesses are enough.
-        said = [Said(f.value, w) for o, f in self._by_key.get(key, {}).items() if o != self.me
-                and f.about == draft.about and (w := faded(f.weight, now - f.observed, half)) >= draft.weight]
-        if len(said) >= self.settings.witnesses:
-            value, _ = combine(said, draft.value, self.settings, OFFSETS.get(draft.topic, 0.0))
-            if _apart(draft.topic, draft.value, value) < 2 * self.settings.news:
+            priority = 2.0
+        # A few witnesses are enough for a value that does not change.
+        witnesses = [
+            WeightedValue(f.value, w) for o, f in self._by_key.get(key, {}).items()
+            if o != self.own_origin and f.worker_started_us == observation.worker_started_us
+            and (w := decayed_weight(f.weight, now - f.observed_us, half_life)) >= observation.weight]
+        if len(witnesses) >= self.settings.witnesses:
+            value, _ = combine(
+                witnesses, observation.value, self.settings, VALUE_OFFSETS.get(observation.topic, 0.0))
+            if _log_distance(
+                observation.topic, observation.value, value,
+            ) < 2 * self.settings.publish_threshold:
                 return 0.0
-        return (news + 0.1) * min(draft.weight, 8.0)
+        return (priority + 0.1) * min(observation.weight, 8.0)
 
     # Exchange.
 
     def digest(self) -> Digest:
-        """Return how far each origin's facts are known here."""
-        return {origin: life.seq for origin, life in self._lives.items() if life.seq}
+        """Return the highest fact number known of each origin."""
+        return {origin: state.seq for origin, state in self._origins.items() if state.seq}
 
     def fingerprint(self) -> int:
-        """Return a number that two instances share if they know the same, in 64 bits."""
-        if self._print is None:
-            rows = sorted((o.name, o.life, life.seq) for o, life in self._lives.items() if life.seq)
-            self._print = xxhash.xxh3_64_intdigest(msgspec.msgpack.encode(rows))
-        return self._print
-
-    def delta(self, theirs: Digest, budget: int) -> list[Batch]:
-        """Return what is newer here than there, up to about ``budget`` bytes.
-
-        Origins come in random order, so that under a tight budget none is passed over for ever; within one
-        the facts come in the order told, and a batch that had to be cut says how far it goes.
+        """Return a 64-bit hash of the digest; equal on instances that have received the same facts."""
+        if self._fingerprint is None:
+            rows = sorted(
+                (o.name, o.started_us, state.seq) for o, state in self._origins.items() if state.seq)
+            self._fingerprint = xxhash.xxh3_64_intdigest(msgspec.msgpack.encode(rows))
+        return self._fingerprint
+
+    def delta(self, remote: Digest, budget: int) -> list[Batch]:
+        """Return the facts that the sender of digest ``remote`` lacks, up to about ``budget`` bytes.
+
+        Origins come in random order, so that a small budget does not starve any of them. An origin's facts
+        come in the order of publication; the ``seq`` of a batch cut short is that of its last fact.
         """
-        newer = [(o, life) for o, life in self._lives.items() if life.seq > theirs.get(o, 0)]
+        newer = [(o, state) for o, state in self._origins.items() if state.seq > remote.get(o, 0)]
         self._rng.shuffle(newer)
         batches = []
-        for origin, life in newer:
-            known, facts, upto = theirs.get(origin, 0), [], life.seq
-            for fact in reversed(life.facts.values()):
-                if fact.seq <= known:
+        for origin, state in newer:
+            known_seq, facts, last_seq = remote.get(origin, 0), [], state.seq
+            for fact in reversed(state.facts.values()):
+                if fact.seq <= known_seq:
                     break
                 facts.append(fact)
             facts.reverse()
-            kept: list[Fact] = []
+            selected: list[Fact] = []
             for fact in facts:
-                budget -= OVERHEAD + len(fact.subject)
+                budget -= FACT_OVERHEAD_BYTES + len(fact.subject)
                 if budget < 0:
-                    upto = kept[-1].seq if kept else known
+                    last_seq = selected[-1].seq if selected else known_seq
                     break
-                kept.append(fact)
-            budget -= OVERHEAD + len(origin.name)
-            if upto > known:
-                batches.append(Batch(origin, upto, kept))
+                selected.append(fact)
+            budget -= FACT_OVERHEAD_BYTES + len(origin.name)
+            if last_seq > known_seq:
+                batches.append(Batch(origin, last_seq, selected))
             if budget < 0:
                 break
         return batches
 
-    def take(self, now: int, batches: Iterable[Batch], shift: int = 0, only: str | None = None) -> int:
-        """Take in what another instance sent; return how many facts were new.
+    def merge(
+        self, now: int, batches: Iterable[Batch], clock_offset: int = 0, only_origin: str | None = None,
+    ) -> int:
+        """Merge batches from another instance; return how many facts were added.
 
-        ``shift`` is our clock less theirs; ``only`` names the one origin that the sender may speak for, where
-        relaying is not trusted. What could not have been observed is passed over, one fact at a time.
+        ``clock_offset`` is the local clock minus the sender's, in microseconds. ``only_origin`` is the only
+        member name whose facts are accepted, where relayed facts are not trusted. Facts that are not valid
+        are skipped one by one.
         """
-        taken = 0
+        added = 0
         for batch in batches:
             origin = batch.origin
-            if origin == self.me or (only is not None and origin.name != only):
+            if origin == self.own_origin or (only_origin is not None and origin.name != only_origin):
                 continue
-            life = self._lives.get(origin)
-            if life is None:
-                if len(self._lives) >= self.settings.most_origins and not self._drop_origin():
+            state = self._origins.get(origin)
+            if state is None:
+                if len(self._origins) >= self.settings.max_origins and not self._evict_origin():
                     continue
-                life = self._lives[origin] = _Life()
-            if batch.seq <= life.seq or not 0 < batch.seq < 1 << 62:
+                state = self._origins[origin] = _OriginState()
+            if batch.seq <= state.seq or not 0 < batch.seq < 1 << 62:
                 continue
             for fact in batch.facts:
-                if life.seq < fact.seq <= batch.seq:
-                    life.seq = fact.seq
-                    here = shifted(fact, shift, now)
-                    if usable(here, now) and self._worth(now, here) >= LEAST:
-                        self._put(origin, life, here)
-                        taken += 1
-            life.seq, life.heard, self._print = batch.seq, now, None
-        if taken:
+                if state.seq < fact.seq <= batch.seq:
+                    state.seq = fact.seq
+                    local = with_clock_offset(fact, clock_offset, now)
+                    if is_valid(local, now) and self._current_weight(now, local) >= MIN_WEIGHT:
+                        self._store(origin, state, local)
+                        added += 1
+            state.seq, state.received_at, self._fingerprint = batch.seq, now, None
+        if added:
             self.version += 1
-            self._bound(now)
-        return taken
+            self._evict_excess_facts(now)
+        return added
 
-    def _worth(self, now: int, fact: Fact) -> float:
-        return faded(fact.weight, now - fact.observed, self.settings.half_lives[fact.topic])
+    def _current_weight(self, now: int, fact: Fact) -> float:
+        return decayed_weight(fact.weight, now - fact.observed_us, self.settings.half_lives[fact.topic])
 
-    def _put(self, origin: Origin, life: _Life, fact: Fact) -> None:
-        if life.facts.pop(fact.key, None) is None:
+    def _store(self, origin: Origin, state: _OriginState, fact: Fact) -> None:
+        if state.facts.pop(fact.key, None) is None:
             self.count += 1
-        life.facts[fact.key] = fact
+        state.facts[fact.key] = fact
         holders = self._by_key[fact.key]
         holders[origin] = fact
         if len(holders) > self.settings.witnesses + 1:
-            # The weakest of the others goes. The digest still says that it was seen, so it is not sent again.
-            weakest = min((o for o in holders if o != self.me), key=lambda o: (
-                holders[o].about, holders[o].observed + min(holders[o].weight, 8.0) * 1e6))
+            # Removes the weakest fact of another origin. The digest still covers it, so it is not sent again.
+            weakest = min((o for o in holders if o != self.own_origin), key=lambda o: (
+                holders[o].worker_started_us, holders[o].observed_us + min(holders[o].weight, 8.0) * 1e6))
             self._remove(weakest, fact.key)
 
     def _remove(self, origin: Origin, key: Key) -> None:
-        if self._lives[origin].facts.pop(key, None) is not None:
+        if self._origins[origin].facts.pop(key, None) is not None:
             self.count -= 1
         holders = self._by_key[key]
         holders.pop(origin, None)
         if not holders:
             del self._by_key[key]
 
-    # Bounds.
+    # Limits.
 
-    def _drop_origin(self) -> bool:
-        """Make room for an origin: the one heard longest ago that holds nothing of weight any more."""
-        others = [o for o in self._lives if o != self.me]
-        oldest = min(others, key=lambda o: (bool(self._lives[o].facts), self._lives[o].heard), default=None)
+    def _evict_origin(self) -> bool:
+        """Remove the origin received longest ago, one without facts first; return False if there is none."""
+        others = [o for o in self._origins if o != self.own_origin]
+        oldest = min(
+            others, key=lambda o: (bool(self._origins[o].facts), self._origins[o].received_at), default=None)
         if oldest is None:
             return False
-        for key in list(self._lives[oldest].facts):
+        for key in list(self._origins[oldest].facts):
             self._remove(oldest, key)
-        del self._lives[oldest]
-        self._print = None
+        del self._origins[oldest]
+        self._fingerprint = None
         return True
 
-    def _bound(self, now: int) -> None:
-        if self.count <= self.settings.most_facts:
+    def _evict_excess_facts(self, now: int) -> None:
+        if self.count <= self.settings.max_facts:
             return
-        worths = sorted(
-            (self._worth(now, f), o, k) for k, holders in self._by_key.items() for o, f in holders.items()
-            if o != self.me)
-        for _, origin, key in worths[: self.count - self.settings.most_facts]:
+        by_weight = sorted(
+            (self._current_weight(now, f), o, k)
+            for k, holders in self._by_key.items() for o, f in holders.items() if o != self.own_origin)
+        for _, origin, key in by_weight[: self.count - self.settings.max_facts]:
             self._remove(origin, key)
 
-    def fade(self, now: int) -> int:
-        """Forget what has lost its weight, and lives of which nothing is left; return how many facts went."""
-        gone = [(o, k) for k, holders in self._by_key.items() for o, f in holders.items()
-                if self._worth(now, f) < LEAST]
-        for origin, key in gone:
+    def expire(self, now: int) -> int:
+        """Remove facts below the minimum weight and outdated origins; return how many facts were removed."""
+        expired = [(o, k) for k, holders in self._by_key.items() for o, f in holders.items()
+                   if self._current_weight(now, f) < MIN_WEIGHT]
+        for origin, key in expired:
             self._remove(origin, key)
-        # Guards against a member that restarts without end: of its former lives only what it told counts.
+        # Keeps a member that restarts again and again from filling the origins: an earlier run of it is
+        # dropped once it has no facts.
         newest: dict[str, int] = {}
-        for origin in self._lives:
-            newest[origin.name] = max(newest.get(origin.name, 0), origin.life)
-        for origin, life in list(self._lives.items()):
-            if not life.facts and origin != self.me and origin.life < newest[origin.name]:
-                del self._lives[origin]
-                self._print = None
-        return len(gone)
+        for origin in self._origins:
+            newest[origin.name] = max(newest.get(origin.name, 0), origin.started_us)
+        for origin, state in list(self._origins.items()):
+            if not state.facts and origin != self.own_origin and origin.started_us < newest[origin.name]:
+                del self._origins[origin]
+                self._fingerprint = None
+        return len(expired)
 
     # Reading.
 
-    def about(self, key: Key) -> Iterator[tuple[Origin, Fact]]:
-        """Go through what is known of a key, our own included."""
+    def facts_for(self, key: Key) -> Iterator[tuple[Origin, Fact]]:
+        """Yield the facts of a key with their origins, this instance included."""
         yield from self._by_key.get(key, {}).items()
 
     def keys(self) -> list[Key]:
-        """Return what anything is known of."""
+        """Return all keys that have facts."""
         return list(self._by_key)
 
-    def sources(self, now: int, within: int) -> set[str]:
-        """Return the names of other members heard of within so many microseconds."""
-        return {o.name for o, life in self._lives.items()
-                if o.name != self.me.name and life.facts and now - life.heard <= within}
+    def recent_members(self, now: int, within: int) -> set[str]:
+        """Return names of other members whose facts were received in the last ``within`` microseconds."""
+        return {o.name for o, state in self._origins.items()
+                if o.name != self.own_origin.name and state.facts and now - state.received_at <= within}
 
-    def everything(self) -> list[Batch]:
-        """Return all that is held, for a snapshot."""
-        return [Batch(origin, life.seq, list(life.facts.values()))
-                for origin, life in self._lives.items() if life.facts]
+    def all_batches(self) -> list[Batch]:
+        """Return the facts of all origins, for a snapshot."""
+        return [Batch(origin, state.seq, list(state.facts.values()))
+                for origin, state in self._origins.items() if state.facts]
--- a/hazellead/peers/assembly.py
+++ b/hazellead/peers/assembly.py
@@ -2,7 +2,7 @@
 
 from hazellead.core.clock import Clock
 from hazellead.core.scheduler import Scheduler
-from hazellead.learning.door import Names
+from hazellead.learning.conversion import Names
 from hazellead.peers.config import PeersConfig
 from hazellead.peers.service import PeerService
 from hazellead.peers.transport import PeerLimits
--- a/hazellead/peers/config.py
+++ b/hazellead/peers/config.py
@@ -154,4 +154,4 @@
         half_lives[topics[key]] = seconds * 1_000_000
     return LearningSettings(
         half_lives, given.clamp, given.alone, given.witnesses, given.most_facts,
-        shun=timedelta(milliseconds=given.shun_ms), enabled=given.enabled)
+        drain_hold=timedelta(milliseconds=given.shun_ms), enabled=given.enabled)
--- a/hazellead/peers/node.py
+++ b/hazellead/peers/node.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from random import Random
 
-from hazellead.learning.facts import Draft, LearningSettings, Origin
+from hazellead.learning.facts import LearningSettings, Observation, Origin
 from hazellead.learning.store import Batch, Knowledge
 from hazellead.peers.messages import Bounds, Delta, Digest, Message
 from hazellead.peers.swim import MS, Change, Out, Swim, SwimSettings
@@ -80,7 +80,7 @@
         out = self.swim.tick(now)
         if self._fade <= now:
             self._fade = now + self.settings.fade_us
-            self.knowledge.fade(now)
+            self.knowledge.expire(now)
             self._whole_for = {n: at for n, at in self._whole_for.items() if now - at < 60_000 * MS}
         if self._next <= now:
             self._next = now + int(self.settings.exchange_us * (0.75 + self._rng.random() / 2))
@@ -90,9 +90,9 @@
                 out.append((member.name, member.address, Digest(self.knowledge.fingerprint(), now)))
         return out
 
-    def tell(self, now: int, drafts: Iterable[Draft]) -> int:
+    def publish(self, now: int, observations: Iterable[Observation]) -> int:
         """Take in what this instance has itself observed."""
-        return self.knowledge.tell(now, drafts)
+        return self.knowledge.publish(now, observations)
 
     def take_changes(self) -> list[Change]:
         """Return what has changed among the members since the last call."""
@@ -106,8 +106,8 @@
         if isinstance(message, Digest):
             return self._digest(now, sender, message)
         if isinstance(message, Delta):
-            only = None if self.settings.relay else sender
-            self.knowledge.take(now, message.batches, self._skew(now, sender, message.now), only)
+            only_origin = None if self.settings.relay else sender
+            self.knowledge.merge(now, message.batches, self._skew(now, sender, message.now), only_origin)
             self.answered.add(sender)
             return []
         return self.swim.receive(now, sender, message)
--- a/hazellead/peers/service.py
+++ b/hazellead/peers/service.py
@@ -10,8 +10,8 @@
 from tornado.ioloop import IOLoop, PeriodicCallback
 
 from hazellead.core.clock import Clock, span
-from hazellead.learning.door import Names
-from hazellead.learning.pupil import Learner, Pupil
+from hazellead.learning.conversion import Names
+from hazellead.learning.scheduler_sync import Learner, SchedulerSync
 from hazellead.peers.config import PeersConfig
 from hazellead.peers.keys import KeyFileError, Keys
 from hazellead.peers.messages import Message, Standing
@@ -36,7 +36,7 @@
         self.given, self._clock = given, clock
         self.node = Node(
             given.name, given.advertise, clock.now_us(), given.node, given.learning, Random())
-        self._pupil = Pupil(self.node.knowledge, scheduler, names, given.learning)
+        self._scheduler_sync = SchedulerSync(self.node.knowledge, scheduler, names, given.learning)
         self.transport: Transport | None = None
         self.keys: Keys | None = None
         if given.listen and given.keys:
@@ -76,7 +76,7 @@
             self._plan()
             if asked:
                 await self._first_answers(min(len(asked), self.given.node.asked))
-        self._pupil.learn(self._clock.now_us())
+        self._scheduler_sync.adopt(self._clock.now_us())
         for periodic in self._periodic:
             periodic.start()
         log.info("learned_at_start", facts=self.node.knowledge.count, peers=len(self.node.answered),
@@ -101,7 +101,7 @@
         """Say goodbye, keep what is known, end all connections."""
         for periodic in self._periodic:
             periodic.stop()
-        self._pupil.tell(self._clock.now_us())
+        self._scheduler_sync.publish(self._clock.now_us())
         if self._timer is not None:
             IOLoop.current().remove_timeout(self._timer)
         if self._file:
@@ -183,8 +183,8 @@
 
     def _learn(self) -> None:
         now = self._clock.now_us()
-        self._pupil.tell(now)
-        self._pupil.learn(now)
+        self._scheduler_sync.publish(now)
+        self._scheduler_sync.adopt(now)
 
     def _save(self) -> None:
         assert self._file
--- a/hazellead/snapshots/file.py
+++ b/hazellead/snapshots/file.py
@@ -23,7 +23,7 @@
 
     def write(self, knowledge: Knowledge, now: int) -> bool:
         """Write what is known; a failure is logged once until it works again, and changes nothing."""
-        data = encode(Snapshot(self._cluster, self._name, now, knowledge.everything()))
+        data = encode(Snapshot(self._cluster, self._name, now, knowledge.all_batches()))
         temporary = self._path.with_name(f"{self._path.name}.{os.getpid()}.tmp")
         try:
             descriptor = os.open(temporary, os.O_WRONLY | os.O_CREAT | os.O_TRUNC, 0o600)
@@ -73,6 +73,6 @@
         except SnapshotError as error:
             log.warning("snapshot_refused", path=str(self._path), reason=str(error))
             return 0
-        taken = knowledge.take(now, snapshot.batches)
+        taken = knowledge.merge(now, snapshot.batches)
         log.info("snapshot_read", path=str(self._path), facts=taken, by=snapshot.name)
         return taken
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -16,9 +16,9 @@
 from hazellead.decide.choice import Dispatcher
 from hazellead.decide.known import Estimate, Known, KnownWorker
 from hazellead.decide.records import Learned
-from hazellead.learning.door import Listed, Names, Reader, drafts
-from hazellead.learning.facts import Draft, Fact, LearningSettings, Origin, Topic, default_half_lives
-from hazellead.learning.merge import Said, combine, faded
+from hazellead.learning.conversion import EstimateReader, ListedWorker, Names, observations
+from hazellead.learning.facts import Fact, LearningSettings, Observation, Origin, Topic, default_half_lives
+from hazellead.learning.merge import WeightedValue, combine, decayed_weight
 from hazellead.learning.store import Batch, Knowledge
 from hazellead.snapshots.file import SnapshotFile
 from hazellead.snapshots.format import Snapshot, SnapshotError, decode, encode
@@ -33,18 +33,18 @@
     return Knowledge(Origin(name, life), settings, Random(name))
 
 
-def pace(value: float, weight: float = 30, worker: str = "w-1", about: int = 0, at: int = NOW) -> Draft:
-    return Draft(Topic.PACE, worker, about, value, weight, at)
+def pace(value: float, weight: float = 30, worker: str = "w-1", about: int = 0, at: int = NOW) -> Observation:
+    return Observation(Topic.PACE, worker, about, value, weight, at)
 
 
 def exchange(
-    source: Knowledge, target: Knowledge, now: int = NOW, shift: int = 0, budget: int = 10**6,
+    source: Knowledge, target: Knowledge, now: int = NOW, clock_offset: int = 0, budget: int = 10**6,
 ) -> int:
-    return target.take(now, source.delta(target.digest(), budget), shift)
+    return target.merge(now, source.delta(target.digest(), budget), clock_offset)
 
 
-def reader(k: Knowledge) -> Reader:
-    return Reader(k, SET, NAMES)
+def reader(k: Knowledge) -> EstimateReader:
+    return EstimateReader(k, SET, NAMES)
 
 
 def value(k: Knowledge, now: int = NOW, about: int = 0, worker: str = "w-1") -> Estimate:
@@ -53,7 +53,7 @@
 
 def test_the_same_evidence_counts_once_however_it_travels() -> None:
     a, b, c = knowledge("a"), knowledge("b"), knowledge("c")
-    a.tell(NOW, [pace(2.0)])
+    a.publish(NOW, [pace(2.0)])
     assert exchange(a, b) == 1 and exchange(a, b) == 0
     assert exchange(b, c) == 1 and exchange(a, c) == 0 and exchange(c, b) == 0
     assert exchange(b, a) == exchange(c, a) == 0  # what A said is no news to A
@@ -62,7 +62,7 @@
 
 def test_two_new_instances_that_know_only_each_other_learn_no_more_than_they_saw() -> None:
     a, b = knowledge("a"), knowledge("b")
-    a.tell(NOW, [pace(3.0, weight=1)])
+    a.publish(NOW, [pace(3.0, weight=1)])
     for i in range(50):
         exchange(a, b, NOW + i)
         exchange(b, a, NOW + i)
@@ -72,28 +72,28 @@
 
 def test_older_knowledge_weighs_less_and_is_forgotten_at_last() -> None:
     a, b = knowledge("a"), knowledge("b")
-    a.tell(NOW, [pace(2.0)])
+    a.publish(NOW, [pace(2.0)])
     exchange(a, b)
     half = SET.half_lives[Topic.PACE]
     assert value(b, NOW + half).weight == pytest.approx(15)
     assert value(b, NOW + 4 * half).value < value(b, NOW).value
-    assert b.fade(NOW + 20 * half) == 1 and not b.count and value(b, NOW + 20 * half).weight == 0
+    assert b.expire(NOW + 20 * half) == 1 and not b.count and value(b, NOW + 20 * half).weight == 0
 
 
 def test_clocks_hours_apart_agree_on_a_facts_age() -> None:
     hours, a, b = 5 * 3600 * S, knowledge("a"), knowledge("b")
-    a.tell(NOW - hours, [pace(2.0, at=NOW - hours - 10 * S)])
-    exchange(a, b, NOW, shift=hours)
-    (_, fact), = b.about((Topic.PACE, "w-1"))
-    assert fact.observed == NOW - 10 * S
+    a.publish(NOW - hours, [pace(2.0, at=NOW - hours - 10 * S)])
+    exchange(a, b, NOW, clock_offset=hours)
+    (_, fact), = b.facts_for((Topic.PACE, "w-1"))
+    assert fact.observed_us == NOW - 10 * S
 
 
 def test_facts_of_the_future_are_of_now() -> None:
     b, origin = knowledge("b"), Origin("liar", 1)
     fact = Fact(Topic.PACE, "w-1", 0, 2.0, 5.0, NOW + 10**12, 1)
-    b.take(NOW, [Batch(origin, 1, [fact])])
-    (_, held), = b.about((Topic.PACE, "w-1"))
-    assert held.observed == NOW
+    b.merge(NOW, [Batch(origin, 1, [fact])])
+    (_, held), = b.facts_for((Topic.PACE, "w-1"))
+    assert held.observed_us == NOW
 
 
 @given(lie=st.floats(0.02, 50), weight=st.floats(0.1, 1e6), truth=st.floats(0.5, 2), spread=st.floats(0, 0.2))
@@ -102,16 +102,17 @@
     lie: float, weight: float, truth: float, spread: float,
 ) -> None:
     rng = Random(1)
-    honest = [Said(truth * math.exp(rng.uniform(-spread, spread)), 30.0) for _ in range(4)]
+    honest = [WeightedValue(truth * math.exp(rng.uniform(-spread, spread)), 30.0) for _ in range(4)]
     without, _ = combine(honest, 1.0, SET)
-    with_liar, _ = combine([*honest, Said(lie, weight)], 1.0, SET)
+    with_liar, _ = combine([*honest, WeightedValue(lie, weight)], 1.0, SET)
     # A third of what the clamp allows, and what median and default move.
     assert abs(with_liar / without - 1) <= (SET.clamp - 1) / 3 + 3 * spread + 0.01
 
 
 def test_two_sources_cannot_move_an_estimate_past_the_factor_for_few() -> None:
-    assert combine([Said(50, 1e6)], 1.0, SET)[0] <= SET.alone
-    assert combine([Said(0.02, 1e6), Said(0.02, 1e6)], 1.0, SET)[0] >= 1 / SET.alone
+    assert combine([WeightedValue(50, 1e6)], 1.0, SET)[0] <= SET.few_sources_clamp
+    assert combine(
+        [WeightedValue(0.02, 1e6), WeightedValue(0.02, 1e6)], 1.0, SET)[0] >= 1 / SET.few_sources_clamp
 
 
 def test_a_fact_that_no_instance_could_have_made_is_passed_over() -> None:
@@ -120,26 +121,26 @@
     bad = [msgspec.structs.replace(good, seq=i, **change) for i, change in enumerate((
         {"value": 1000.0}, {"value": math.nan}, {"weight": -1.0}, {"weight": math.inf}, {"topic": 99},
         {"subject": "x" * 600}, {"about": -5}, {"value": math.inf}), start=2)]
-    assert b.take(NOW, [Batch(Origin("a", 1), 20, [good, *bad])]) == 1 and b.count == 1
+    assert b.merge(NOW, [Batch(Origin("a", 1), 20, [good, *bad])]) == 1 and b.count == 1
 
 
 def test_knowledge_is_bounded_in_facts_and_in_origins_and_keeps_our_own() -> None:
-    small = replace(SET, most_facts=50, most_origins=5, witnesses=2)
+    small = replace(SET, max_facts=50, max_origins=5, witnesses=2)
     b = knowledge("b", settings=small)
-    b.tell(NOW, [pace(1.5)])
+    b.publish(NOW, [pace(1.5)])
     for o in range(20):
         facts = [Fact(Topic.PACE, f"w-{i}", 0, 2.0, 5.0, NOW - i * S, i + 1) for i in range(40)]
-        b.take(NOW + o, [Batch(Origin(f"o{o}", 1), 40, facts)])
+        b.merge(NOW + o, [Batch(Origin(f"o{o}", 1), 40, facts)])
         assert b.count <= 50 and len(b.digest()) <= 6
-    assert any(o == b.me for o, _ in b.about((Topic.PACE, "w-1")))
+    assert any(o == b.own_origin for o, _ in b.facts_for((Topic.PACE, "w-1")))
 
 
 def test_enough_witnesses_make_further_ones_silent_until_they_see_something_else() -> None:
     b = knowledge("b")
     for o in range(SET.witnesses):
-        b.take(NOW, [Batch(Origin(f"o{o}", 1), 1, [Fact(Topic.PACE, "w-1", 0, 2.0, 30.0, NOW, 1)])])
-    assert b.tell(NOW, [pace(2.0, weight=20)]) == 0
-    assert b.tell(NOW, [pace(4.0, weight=20)]) == 1
+        b.merge(NOW, [Batch(Origin(f"o{o}", 1), 1, [Fact(Topic.PACE, "w-1", 0, 2.0, 30.0, NOW, 1)])])
+    assert b.publish(NOW, [pace(2.0, weight=20)]) == 0
+    assert b.publish(NOW, [pace(4.0, weight=20)]) == 1
 
 
 @given(st.lists(st.tuples(st.integers(0, 2), st.integers(0, 2), st.integers(1, 400)), max_size=40))
@@ -149,7 +150,7 @@
 ) -> None:
     members = [knowledge(n) for n in "abc"]
     for i, k in enumerate(members):
-        k.tell(NOW, [pace(1.0 + i, worker=f"w-{j}") for j in range(i + 3)])
+        k.publish(NOW, [pace(1.0 + i, worker=f"w-{j}") for j in range(i + 3)])
     for source, target, budget in steps:
         exchange(members[source], members[target], budget=budget)
     for _ in range(3):
@@ -157,7 +158,7 @@
             for target in members:
                 exchange(source, target)
     assert len({k.fingerprint() for k in members}) == 1
-    assert len({tuple(sorted((f.key, o, f.value) for key in k.keys() for o, f in k.about(key)))
+    assert len({tuple(sorted((f.key, o, f.value) for key in k.keys() for o, f in k.facts_for(key)))
                 for k in members}) == 1
 
 
@@ -231,26 +232,26 @@
     d.learn(Known(
         workers=tuple(KnownWorker(w, 0, full, full, full, full, full, full) for w in range(1, 5)),
         runs=(full,) * 3, factor=Estimate(1.0, 9, NOW)))
-    listed = [Listed(w, f"w-{w}", 0) for w in range(1, 5)]
-    told = drafts(d.known(), NAMES, listed, "me", NOW)
+    listed = [ListedWorker(w, f"w-{w}", 0) for w in range(1, 5)]
+    told = observations(d.known(), NAMES, listed, "me", NOW)
     assert not [t for t in told if t.topic not in (Topic.DEMAND,)]
 
 
 def test_caution_needs_two_members_where_there_are_more_and_the_one_where_there_is_one() -> None:
-    worker = Listed(1, "w-1", 7)
+    worker = ListedWorker(1, "w-1", 7)
     b = knowledge("b")
 
     def tell(name: str, topic: Topic, seq: int = 1) -> None:
-        b.take(NOW, [Batch(Origin(name, 1), seq, [Fact(topic, "w-1", 7, 1.0, 1.0, NOW, seq)])])
+        b.merge(NOW, [Batch(Origin(name, 1), seq, [Fact(topic, "w-1", 7, 1.0, 1.0, NOW, seq)])])
 
     def blamed() -> float:
-        return reader(b).known([worker], NOW, Known(), ()).workers[0].blame.weight
+        return reader(b).shared_estimates([worker], NOW, Known(), ()).workers[0].blame.weight
 
     tell("x", Topic.BLAME)
     assert blamed() > 0  # the only other member
     tell("y", Topic.PACE)
     assert blamed() == 0  # one of two alone
-    b.take(NOW, [Batch(Origin("x", 2), 1, [Fact(Topic.BLAME, "w-1", 7, 1.0, 1.0, NOW, 1)])])
+    b.merge(NOW, [Batch(Origin("x", 2), 1, [Fact(Topic.BLAME, "w-1", 7, 1.0, 1.0, NOW, 1)])])
     assert blamed() == 0  # another life of the same member is no second one
     tell("y", Topic.BLAME, 2)
     assert blamed() > 0
@@ -258,11 +259,11 @@
 
 def test_a_new_instance_takes_its_demand_from_its_own_former_life_and_within_its_quota() -> None:
     b = knowledge("me", life=2)
-    b.take(NOW, [
+    b.merge(NOW, [
         Batch(Origin("me", 1), 2, [Fact(Topic.DEMAND, "me/t1", 0, 30.0, 9.0, NOW, 1),
                                    Fact(Topic.DEMAND, "me/t2", 0, 900.0, 9.0, NOW, 2)]),
         Batch(Origin("x", 1), 1, [Fact(Topic.DEMAND, "x/t1", 0, 5.0, 9.0, NOW, 1)])])
-    one, two = reader(b).known([], NOW, Known(), (25.0, 50.0)).demand
+    one, two = reader(b).shared_estimates([], NOW, Known(), (25.0, 50.0)).demand
     assert one.value == pytest.approx(29.4, abs=0.5) and two.value <= 100.0
 
 
@@ -271,12 +272,12 @@
 
 def filled() -> Knowledge:
     a = knowledge("a")
-    a.tell(NOW, [pace(2.0, worker=f"w-{i}") for i in range(5)])
+    a.publish(NOW, [pace(2.0, worker=f"w-{i}") for i in range(5)])
     return a
 
 
 def test_a_snapshot_cut_at_any_byte_or_with_a_flipped_one_is_refused_and_changes_nothing() -> None:
-    data = encode(Snapshot("c", "a", NOW, filled().everything()))
+    data = encode(Snapshot("c", "a", NOW, filled().all_batches()))
     hour = timedelta(hours=1)
     assert decode(data, cluster="c", now=NOW, oldest=hour).name == "a"
     for cut in range(len(data)):
@@ -315,12 +316,12 @@
 
 
 def test_weight_fades_by_half_lives() -> None:
-    assert faded(8.0, 3 * S, S) == 1.0 and faded(8.0, -5, S) == 8.0
+    assert decayed_weight(8.0, 3 * S, S) == 1.0 and decayed_weight(8.0, -5, S) == 8.0
 
 
 def test_more_than_a_thousand_instances_are_known_at_once() -> None:
     k = knowledge("me")
     for n in range(1500):
         fact = Fact(int(Topic.PACE), f"w-{n}", 0, 2.0, 20.0, NOW, 1)
-        assert k.take(NOW, [Batch(Origin(f"n{n}", 1), 1, [fact])]) == 1
-    assert len(k.sources(NOW, 1)) == 1500
+        assert k.merge(NOW, [Batch(Origin(f"n{n}", 1), 1, [fact])]) == 1
+    assert len(k.recent_members(NOW, 1)) == 1500
--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -23,7 +23,7 @@
 from hazellead.core.clock import Clock
 from hazellead.decide import interface as api
 from hazellead.decide.known import Estimate, Known, KnownWorker
-from hazellead.learning.door import Names
+from hazellead.learning.conversion import Names
 from hazellead.learning.facts import Topic
 from hazellead.operators import load
 from hazellead.peers.config import PeersConfig, read
@@ -235,8 +235,8 @@
         (tmp_path / "snap.1.tmp").write_bytes(b"left by a write that was killed")
         async with instance(config(tmp_path, "n1", free_port(), [free_port()], **more)) as (one, learner):
             assert pace_of(learner) > 1.5
-            origins = {o.life for o, _ in one.node.knowledge.about((Topic.PACE, "w-1"))}
-            assert one.node.knowledge.me.life not in origins  # its former life is another origin
+            origins = {o.started_us for o, _ in one.node.knowledge.facts_for((Topic.PACE, "w-1"))}
+            assert one.node.knowledge.own_origin.started_us not in origins  # the earlier run is another origin
         (tmp_path / "snap").write_bytes((tmp_path / "snap").read_bytes()[:-3])
         async with instance(config(tmp_path, "n1", free_port(), [], **more)) as (_, learner):
             assert not pace_of(learner) or pace_of(learner) == 1.0
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -10,7 +10,7 @@
 
 from hazellead.lab.mesh import Mesh, MeshNetwork, Peer
 from hazellead.lab.time import VirtualTime
-from hazellead.learning.facts import Draft, Fact, Origin, Topic
+from hazellead.learning.facts import Fact, Observation, Origin, Topic
 from hazellead.learning.store import Batch
 from hazellead.peers.messages import (
     HEADER,
@@ -53,11 +53,12 @@
 
 def tell(peer: Peer, m: Mesh, subject: str = "w-1", value: float = 2.0) -> None:
     now = m._now(peer)
-    peer.node.tell(now, [Draft(Topic.PACE, subject, 0, value, 20.0, now)])
+    peer.node.publish(now, [Observation(Topic.PACE, subject, 0, value, 20.0, now)])
 
 
 def knowing(m: Mesh, subject: str = "w-1") -> int:
-    return sum(bool(list(p.node.knowledge.about((Topic.PACE, subject)))) for p in m.peers.values() if p.up)
+    return sum(bool(list(p.node.knowledge.facts_for((Topic.PACE, subject))))
+               for p in m.peers.values() if p.up)
 
 
 def test_all_find_each_other_and_a_dead_one_is_known_to_all_despite_loss() -> None:
@@ -140,8 +141,8 @@
     m.time.run_us(200_000)
     assert len(new.node.answered) == 3 and new.node.knowledge.count == 5
     now = m._now(new)
-    assert all(now - 10 * S < f.observed <= now for k in new.node.knowledge.keys()
-               for _, f in new.node.knowledge.about(k))
+    assert all(now - 10 * S < f.observed_us <= now for k in new.node.knowledge.keys()
+               for _, f in new.node.knowledge.facts_for(k))
 
 
 def test_facts_are_sent_within_the_rate_and_arrive_all_the_same() -> None:
@@ -149,8 +150,8 @@
     m = mesh(4, settings=slow)
     now = m.time.now_us()
     for k in range(3):
-        drafts = [Draft(Topic.PACE, f"w-{k}-{i}", 0, 2.0, 20.0, now) for i in range(200)]
-        m.peers["n0"].node.tell(now, drafts)
+        observations = [Observation(Topic.PACE, f"w-{k}-{i}", 0, 2.0, 20.0, now) for i in range(200)]
+        m.peers["n0"].node.publish(now, observations)
     before = {n: p.sent_bytes for n, p in m.peers.items()}
     m.time.run_us(10 * S)
     assert max(p.sent_bytes - before[n] for n, p in m.peers.items()) < 10 * 10 * 1024
@@ -164,7 +165,7 @@
     forged = Batch(Origin("n2", 10**17), 1, [Fact(Topic.PACE, "w-9", 0, 9.0, 50.0, m.time.now_us(), 1)])
     m._send(liar, [("n0", "n0", Delta(m.time.now_us(), [forged]))])
     m.time.run_us(S)
-    assert not list(target.node.knowledge.about((Topic.PACE, "w-9")))
+    assert not list(target.node.knowledge.facts_for((Topic.PACE, "w-9")))
     tell(liar, m)
     m.time.run_us(5 * S)
     assert knowing(m) == 4  # from its origin to each
@@ -262,7 +263,7 @@
         except MessageError:
             refused += 1
     assert refused > 10_000 and taken > 10_000
-    assert len(node.swim.members) < 4096 and node.knowledge.count < node.knowledge.settings.most_facts
+    assert len(node.swim.members) < 4096 and node.knowledge.count < node.knowledge.settings.max_facts
     for held in node.knowledge.keys():
         assert len(held[1]) <= 512
 
