--- a/hazellead/lab/learners.py
+++ b/hazellead/lab/learners.py
@@ -49,7 +49,7 @@
         lesson = self.lessons[instance.number] = _Lesson(instance.life, peer, pupil)
         instance.up = False
         began = self.world.time.now_us()
-        self._wait(instance, lesson, began, min(len(others), peer.node.settings.asked))
+        self._wait(instance, lesson, began, min(len(others), peer.node.settings.start_contacts))
 
     def _wait(self, instance: Instance, lesson: _Lesson, began: int, wanted: int) -> None:
         if instance.life != lesson.life:
--- a/hazellead/lab/measure_learning.py
+++ b/hazellead/lab/measure_learning.py
@@ -199,7 +199,7 @@
     false_deaths = len(mesh.deaths)
     mesh.kill(mesh.peers["n5"])
     now = mesh.time.now_us()
-    while any("n5" in p.node.swim.members and p.node.swim.members["n5"].there
+    while any("n5" in p.node.swim.members and p.node.swim.members["n5"].is_active
               for p in mesh.peers.values() if p.up) and mesh.time.now_us() - now < 60 * US:
         mesh.time.run_us(100_000)
     return {"members": count, "loss": loss, "kib_a_second_most": max(sent), "kib_a_second_mean": mean(sent),
--- a/hazellead/lab/mesh.py
+++ b/hazellead/lab/mesh.py
@@ -6,9 +6,9 @@
 
 from hazellead.lab.time import Timer, VirtualTime
 from hazellead.learning.facts import LearningSettings, default_half_lives
-from hazellead.peers.messages import Reader, encode
+from hazellead.peers.messages import FrameReader, encode
 from hazellead.peers.node import Node, NodeSettings
-from hazellead.peers.swim import Out
+from hazellead.peers.swim import Outgoing
 
 
 @dataclass(slots=True, frozen=True)
@@ -31,13 +31,13 @@
     side: int = 0  # of a partition
     slow_us: int = 0  # a pause: it handles nothing until then
     timer: Timer | None = None
-    reader: Reader = field(init=False)
+    reader: FrameReader = field(init=False)
     on_learned: Callable[["Peer"], None] | None = None
     version: int = 0
 
     def __post_init__(self) -> None:
         """Set up what reads its messages."""
-        self.reader = Reader(self.node.settings.bounds)
+        self.reader = FrameReader(self.node.settings.bounds)
 
 
 class Mesh:
@@ -97,15 +97,15 @@
     def _after(self, peer: Peer) -> None:
         for change in peer.node.take_changes():
             now = self.time.now_us()
-            self.changes.append((now, peer.node.name, change.name, int(change.standing)))
-            if change.standing == 2:
+            self.changes.append((now, peer.node.name, change.name, int(change.status)))
+            if change.status == 2:
                 self.deaths.append((now, peer.node.name, change.name))
         if peer.node.knowledge.version != peer.version:
             peer.version = peer.node.knowledge.version
             if peer.on_learned:
                 peer.on_learned(peer)
 
-    def _send(self, peer: Peer, out: list[Out]) -> None:
+    def _send(self, peer: Peer, out: list[Outgoing]) -> None:
         for name, address, message in out:
             data = encode(message)
             peer.sent_bytes += len(data) + 29  # TLS puts that many round a record
--- a/hazellead/peers/__init__.py
+++ b/hazellead/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Instances that talk: who is there (SWIM), what each knows (anti-entropy), and the TLS between them.
+"""Communication between instances: membership (SWIM), exchange of facts (anti-entropy) and TLS transport.
 
-Off unless an operator's file turns it on; the platform's start imports none of it.
+Only used if the operator's configuration enables it; otherwise none of it is imported.
 """
--- a/hazellead/peers/assembly.py
+++ b/hazellead/peers/assembly.py
@@ -1,4 +1,4 @@
-"""Puts an instance's part among others together round its scheduler."""
+"""Creates the peer service of a scheduler."""
 
 from hazellead.core.clock import Clock
 from hazellead.core.scheduler import Scheduler
@@ -9,9 +9,9 @@
 from hazellead.platform.config import Config
 
 
-def assemble(given: PeersConfig, scheduler: Scheduler, base: Config, clock: Clock) -> PeerService:
-    """Return the service, not started; raises ConfigError for keys that cannot be used."""
+def assemble(config: PeersConfig, scheduler: Scheduler, base: Config, clock: Clock) -> PeerService:
+    """Return the service, not yet started; raises ConfigError for unusable keys."""
     names = Names(base.names.classes, base.names.tenants or ("",))
-    # A quarter of the descriptors kept for workers is enough: connections serve both ways.
+    # A quarter of the descriptors for workers is enough, since a connection carries both directions.
     connections = max(8, min(64, base.limits.worker_connections // 4))
-    return PeerService(given, scheduler, names, clock, PeerLimits(connections=connections))
+    return PeerService(config, scheduler, names, clock, PeerLimits(connections=connections))
--- a/hazellead/peers/config.py
+++ b/hazellead/peers/config.py
@@ -1,4 +1,4 @@
-"""The operator's tables ``[peers]``, ``[learning]`` and ``[snapshot]``, checked."""
+"""Reads and validates the configuration tables ``[peers]``, ``[learning]`` and ``[snapshot]``."""
 
 from collections.abc import Mapping
 from dataclasses import dataclass
@@ -64,48 +64,48 @@
 
 @dataclass(slots=True, frozen=True)
 class PeersConfig:
-    """What an operator sets for instances that talk, or that only remember over a restart."""
+    """Validated configuration of peers, learning and snapshots."""
 
     name: str
     cluster: str
-    listen: tuple[str, int] | None  # None: no peers, a snapshot only
+    listen: tuple[str, int] | None  # None: no peers, only a snapshot
     advertise: str
     seeds: tuple[str, ...]
     policy: NamePolicy
     keys: KeyFiles | None
-    warn: timedelta
-    start: timedelta
+    warn_before: timedelta
+    start_wait: timedelta
     node: NodeSettings
     learning: LearningSettings
-    every: timedelta
+    learn_interval: timedelta
     snapshot: Path | None
-    snapshot_every: timedelta
-    snapshot_oldest: timedelta
+    snapshot_interval: timedelta
+    snapshot_max_age: timedelta
 
 
-def _read(what: str, kind: type[T], given: Any) -> T:
-    """Check one table; an error names the key in the file's own words."""
+def _convert(table: str, struct: type[T], given: Any) -> T:
+    """Convert one table to its struct; a ConfigError names the key as it stands in the file."""
     try:
-        return msgspec.convert(given, kind, strict=True)
+        return msgspec.convert(given, struct, strict=True)
     except msgspec.ValidationError as error:
         text, _, path = str(error).partition(" - at `$")
-        raise ConfigError(f"{what}{path.rstrip('`')}: {text[:1].lower()}{text[1:]}") from None
+        raise ConfigError(f"{table}{path.rstrip('`')}: {text[:1].lower()}{text[1:]}") from None
 
 
 def present(given: Mapping[str, Any]) -> bool:
-    """Say whether an operator's file asks for any of this."""
+    """Return whether a configuration has any of these tables."""
     return any(key in given for key in ("peers", "learning", "snapshot"))
 
 
 def read(given: Mapping[str, Any], folder: Path, name: str) -> PeersConfig:
-    """Read the tables; paths are relative to ``folder``. Raises ConfigError."""
+    """Read the tables; paths in them are relative to ``folder``. Raises ConfigError."""
     if "peers" not in given and "snapshot" not in given:
-        raise ConfigError("learning: needs [peers] or [snapshot], where facts come from")
+        raise ConfigError("learning: needs [peers] or [snapshot] as a source of facts")
     if not name:
-        raise ConfigError("name: an instance that learns needs one")
-    peers = _read("peers", _Peers, given["peers"]) if "peers" in given else None
-    learning = _read("learning", _Learning, given.get("learning", {}))
-    snapshot = _read("snapshot", _Snapshot, given["snapshot"]) if "snapshot" in given else None
+        raise ConfigError("name: is required with [peers] or [snapshot]")
+    peers = _convert("peers", _Peers, given["peers"]) if "peers" in given else None
+    learning = _convert("learning", _Learning, given.get("learning", {}))
+    snapshot = _convert("snapshot", _Snapshot, given["snapshot"]) if "snapshot" in given else None
     if peers:
         _check(peers, name)
     listen = address(peers.listen, "peers.listen") if peers else None
@@ -116,33 +116,33 @@
         seeds=tuple(peers.seeds) if peers else (),
         policy=NamePolicy(frozenset(peers.members), peers.names) if peers else NamePolicy(),
         keys=KeyFiles(folder / tls.ca, folder / tls.cert, folder / tls.key) if tls else None,
-        warn=timedelta(days=tls.warn_days if tls else 14),
-        start=timedelta(milliseconds=peers.start_ms if peers else 0),
+        warn_before=timedelta(days=tls.warn_days if tls else 14),
+        start_wait=timedelta(milliseconds=peers.start_ms if peers else 0),
         node=_node(peers) if peers else NodeSettings(), learning=_learning(learning),
-        every=timedelta(milliseconds=learning.every_ms),
+        learn_interval=timedelta(milliseconds=learning.every_ms),
         snapshot=folder / snapshot.path if snapshot else None,
-        snapshot_every=timedelta(seconds=snapshot.every_s if snapshot else 10),
-        snapshot_oldest=timedelta(seconds=snapshot.oldest_s if snapshot else 3600))
+        snapshot_interval=timedelta(seconds=snapshot.every_s if snapshot else 10),
+        snapshot_max_age=timedelta(seconds=snapshot.oldest_s if snapshot else 3600))
 
 
 def _check(peers: _Peers, name: str) -> None:
     if not peers.members and not peers.names:
-        raise ConfigError("peers: members or names says who may be one")
+        raise ConfigError("peers: members or names is required to say which instances may be peers")
     for number, seed in enumerate(peers.seeds):
         address(seed, f"peers.seeds[{number}]")
     if peers.advertise:
         address(peers.advertise, "peers.advertise")
     if peers.ping_timeout_ms * 2 > peers.ping_ms:
-        raise ConfigError("peers.ping_timeout_ms: is at most half of ping_ms, so that helpers have time")
+        raise ConfigError("peers.ping_timeout_ms: is at most half of ping_ms, to leave time for helpers")
     if not NamePolicy(frozenset(peers.members), peers.names).allows(name):
-        raise ConfigError(f"peers: our own name {name!r} is not among members and does not fit names")
+        raise ConfigError(f"peers: this instance's name {name!r} is not in members and does not match names")
 
 
 def _node(peers: _Peers) -> NodeSettings:
-    swim = SwimSettings(period_us=peers.ping_ms * MS, timeout_us=peers.ping_timeout_ms * MS)
+    swim = SwimSettings(period_us=peers.ping_ms * MS, ack_timeout_us=peers.ping_timeout_ms * MS)
     return NodeSettings(
-        exchange_us=peers.exchange_ms * MS, rate=peers.rate_kib * 1024, burst=2 * peers.rate_kib * 1024,
-        asked=peers.ask, relay=peers.relay, swim=swim)
+        exchange_us=peers.exchange_ms * MS, bytes_per_s=peers.rate_kib * 1024,
+        burst_bytes=2 * peers.rate_kib * 1024, start_contacts=peers.ask, relay=peers.relay, swim=swim)
 
 
 def _learning(given: _Learning) -> LearningSettings:
--- a/hazellead/peers/keys.py
+++ b/hazellead/peers/keys.py
@@ -1,4 +1,4 @@
-"""TLS 1.3 between members: both sides prove themselves by certificates of the installation's own CA."""
+"""TLS 1.3 between members: both sides authenticate by certificates of the installation's own CA."""
 
 import ssl
 from dataclasses import dataclass
@@ -14,12 +14,12 @@
 
 
 class KeyFileError(Exception):
-    """Keys that cannot be used; the text says which and why."""
+    """A certificate or key file is unusable; the message names the file and the reason."""
 
 
 @dataclass(slots=True, frozen=True)
 class KeyFiles:
-    """Where the CA's certificate, our own and its key are, in PEM."""
+    """Paths of the CA's certificate, this instance's certificate and its key, all in PEM."""
 
     ca: Path
     cert: Path
@@ -28,18 +28,18 @@
 
 @dataclass(slots=True, frozen=True)
 class NamePolicy:
-    """Which names may be members: those listed, or those that fit a pattern as file names do (``pay-*``)."""
+    """The names that members may have: those listed and those that match a shell pattern (``pay-*``)."""
 
     listed: frozenset[str] = frozenset()
     pattern: str = ""
 
     def allows(self, name: str) -> bool:
-        """Say whether a member may be called so."""
+        """Return whether a member may have this name."""
         return name in self.listed or bool(self.pattern) and fnmatchcase(name, self.pattern)
 
 
-def names_in(certificate: dict[str, Any]) -> set[str]:
-    """Return the names that a peer's certificate proves: DNS names, or the common name if it has none."""
+def certificate_names(certificate: dict[str, Any]) -> set[str]:
+    """Return the names in a peer's certificate: its DNS names, or the common name if it has none."""
     names = {value for kind, value in certificate.get("subjectAltName", ()) if kind == "DNS"}
     if not names:
         subject = [pair for part in certificate.get("subject", ()) for pair in part]
@@ -47,64 +47,65 @@
     return names
 
 
-def ends_at(certificate: dict[str, Any]) -> datetime:
+def certificate_expiry(certificate: dict[str, Any]) -> datetime:
     """Return when a peer's certificate expires."""
     return datetime.fromtimestamp(ssl.cert_time_to_seconds(certificate["notAfter"]), UTC)
 
 
 class Keys:
-    """The contexts for both sides, made anew when the files are read again."""
+    """TLS contexts of server and client made from the key files, and the certificate's expiry."""
 
-    def __init__(self, files: KeyFiles, name: str, warn: timedelta, now: datetime) -> None:
+    def __init__(self, files: KeyFiles, name: str, warn_before: timedelta, now: datetime) -> None:
         """Read the files; raises KeyFileError."""
-        self._files, self._name, self._warn = files, name, warn
+        self._files, self._name, self._warn_before = files, name, warn_before
         self.server, self.client, self.expires = self._read(now)
 
-    def renewed(self, files: KeyFiles, now: datetime) -> "Keys":
-        """Read the files again; raises KeyFileError, and what is in force stays so."""
-        return Keys(files, self._name, self._warn, now)
+    def reloaded(self, files: KeyFiles, now: datetime) -> "Keys":
+        """Return keys read from ``files``; raises KeyFileError. These keys stay unchanged."""
+        return Keys(files, self._name, self._warn_before, now)
 
     def _read(self, now: datetime) -> tuple[ssl.SSLContext, ssl.SSLContext, datetime]:
         try:
-            own = x509.load_pem_x509_certificate(self._files.cert.read_bytes())
+            certificate = x509.load_pem_x509_certificate(self._files.cert.read_bytes())
         except OSError as error:
             raise KeyFileError(f"{self._files.cert}: {error.strerror}") from None
         except ValueError:
-            raise KeyFileError(f"{self._files.cert}: no certificate") from None
-        expires = own.not_valid_after_utc
+            raise KeyFileError(f"{self._files.cert}: not a PEM certificate") from None
+        expires = certificate.not_valid_after_utc
         if expires <= now:
             raise KeyFileError(f"{self._files.cert}: expired at {expires.isoformat()}")
-        if self._name not in self._names(own):
-            raise KeyFileError(f"{self._files.cert}: is not of {self._name!r}")
+        if self._name not in self._names(certificate):
+            raise KeyFileError(f"{self._files.cert}: was not issued for {self._name!r}")
         self.check(now, expires)
         return self._context(ssl.PROTOCOL_TLS_SERVER), self._context(ssl.PROTOCOL_TLS_CLIENT), expires
 
     @staticmethod
-    def _names(own: x509.Certificate) -> set[str]:
+    def _names(certificate: x509.Certificate) -> set[str]:
         try:
-            extension = own.extensions.get_extension_for_class(x509.SubjectAlternativeName)
+            extension = certificate.extensions.get_extension_for_class(x509.SubjectAlternativeName)
             return set(extension.value.get_values_for_type(x509.DNSName))
         except x509.ExtensionNotFound:
-            return {str(a.value) for a in own.subject.get_attributes_for_oid(x509.NameOID.COMMON_NAME)}
+            return {
+                str(a.value) for a in certificate.subject.get_attributes_for_oid(x509.NameOID.COMMON_NAME)}
 
     def _context(self, protocol: int) -> ssl.SSLContext:
         context = ssl.SSLContext(protocol)
         context.minimum_version = ssl.TLSVersion.TLSv1_3
-        context.check_hostname = False  # names are the members' own; they are checked after the handshake
+        context.check_hostname = False  # member names are no host names; they are checked after the handshake
         context.verify_mode = ssl.CERT_REQUIRED
         try:
             context.load_cert_chain(self._files.cert, self._files.key)
         except (OSError, ssl.SSLError) as error:
-            raise KeyFileError(f"{self._files.key}: does not fit the certificate ({error})") from None
+            raise KeyFileError(f"{self._files.key}: does not match the certificate ({error})") from None
         try:
             context.load_verify_locations(self._files.ca)
         except (OSError, ssl.SSLError) as error:
-            raise KeyFileError(f"{self._files.ca}: no CA certificate ({error})") from None
+            raise KeyFileError(f"{self._files.ca}: not a CA certificate ({error})") from None
         return context
 
     def check(self, now: datetime, expires: datetime | None = None) -> None:
-        """Log a certificate that is about to expire."""
-        left = (expires or self.expires) - now
-        if left <= self._warn:
+        """Log a warning if the certificate is about to expire."""
+        remaining = (expires or self.expires) - now
+        if remaining <= self._warn_before:
             log.warning("peer_certificate_expires", path=str(self._files.cert),
-                        hours=round(left.total_seconds() / 3600, 1))
+                        hours=round(remaining.total_seconds() / 3600, 1))
--- a/hazellead/peers/service.py
+++ b/hazellead/peers/service.py
@@ -1,4 +1,4 @@
-"""Puts learning, membership, transport and snapshot together round one scheduler."""
+"""Runs membership, exchange of facts, transport and snapshots for one scheduler."""
 
 import asyncio
 import time
@@ -14,133 +14,135 @@
 from hazellead.learning.scheduler_sync import Learner, SchedulerSync
 from hazellead.peers.config import PeersConfig
 from hazellead.peers.keys import KeyFileError, Keys
-from hazellead.peers.messages import Message, Standing
+from hazellead.peers.messages import MemberStatus, Message
 from hazellead.peers.node import Node
-from hazellead.peers.swim import Out
+from hazellead.peers.swim import Outgoing
 from hazellead.peers.transport import PeerLimits, Transport
 from hazellead.platform.config import ConfigError
 from hazellead.snapshots.file import SnapshotFile
 
 log = structlog.get_logger()
 
-LEAST_PAUSE = timedelta(milliseconds=5)
+MIN_TICK_DELAY = timedelta(milliseconds=5)
 
 
 class PeerService:
-    """One instance's part among others. ``start`` before it is ready, ``stop`` at its end."""
+    """The peer functions of one instance. Call ``start`` before it is ready and ``stop`` when it ends."""
 
     def __init__(
-        self, given: PeersConfig, scheduler: Learner, names: Names, clock: Clock, limits: PeerLimits,
+        self, config: PeersConfig, scheduler: Learner, names: Names, clock: Clock, limits: PeerLimits,
     ) -> None:
-        """Read keys, set up; nothing is sent yet. Raises ConfigError."""
-        self.given, self._clock = given, clock
+        """Read the keys and create all parts; nothing is sent yet. Raises ConfigError."""
+        self.config, self._clock = config, clock
         self.node = Node(
-            given.name, given.advertise, clock.now_us(), given.node, given.learning, Random())
-        self._scheduler_sync = SchedulerSync(self.node.knowledge, scheduler, names, given.learning)
+            config.name, config.advertise, clock.now_us(), config.node, config.learning, Random())
+        self._scheduler_sync = SchedulerSync(self.node.knowledge, scheduler, names, config.learning)
         self.transport: Transport | None = None
         self.keys: Keys | None = None
-        if given.listen and given.keys:
+        if config.listen and config.keys:
             try:
-                self.keys = Keys(given.keys, given.name, given.warn, clock.now())
+                self.keys = Keys(config.keys, config.name, config.warn_before, clock.now())
             except KeyFileError as error:
                 raise ConfigError(f"peers.tls: {error}") from None
             self.transport = Transport(
-                given.name, given.advertise, given.cluster, self.keys, given.policy, limits, clock,
+                config.name, config.advertise, config.cluster, self.keys, config.policy, limits, clock,
                 self._receive)
-        self._file = SnapshotFile(
-            given.snapshot, given.cluster, given.name, given.snapshot_oldest) if given.snapshot else None
+        self._snapshot_file = SnapshotFile(
+            config.snapshot, config.cluster, config.name, config.snapshot_max_age,
+        ) if config.snapshot else None
         self._timer: object | None = None
-        self._answered: asyncio.Event = asyncio.Event()
-        self._asked = set(given.seeds)
-        self._periodic = [PeriodicCallback(self._learn, given.every)]
-        if self._file:
-            self._periodic.append(PeriodicCallback(self._save, given.snapshot_every))
+        self._answer_received: asyncio.Event = asyncio.Event()
+        self._contacted = set(config.seeds)
+        self._periodic = [PeriodicCallback(self._learn, config.learn_interval)]
+        if self._snapshot_file:
+            self._periodic.append(PeriodicCallback(self._save, config.snapshot_interval))
         if self.transport:
-            self._periodic.append(PeriodicCallback(self._care, timedelta(seconds=30)))
+            self._periodic.append(PeriodicCallback(self._maintain, timedelta(seconds=30)))
 
-    # Life.
+    # Lifecycle.
 
     async def start(self) -> None:
-        """Ask others, wait as long as is set at most, and take over what came; raises ConfigError."""
-        began = time.monotonic()
-        if self._file:
-            self._file.read(self.node.knowledge, self._clock.now_us())
-        if self.transport and self.given.listen:
-            host, port = self.given.listen
+        """Ask the seeds for facts, wait for at most the set time and adopt them; raises ConfigError."""
+        started = time.monotonic()
+        if self._snapshot_file:
+            self._snapshot_file.read(self.node.knowledge, self._clock.now_us())
+        if self.transport and self.config.listen:
+            host, port = self.config.listen
             try:
                 self.transport.listen(host, port)
             except OSError as error:
                 raise ConfigError(f"cannot listen for peers at {host}:{port}: {error.strerror}") from None
-            asked = [s for s in self.given.seeds if s != self.given.advertise]
-            self._send(self.node.start(self._clock.now_us(), asked))
-            self._plan()
-            if asked:
-                await self._first_answers(min(len(asked), self.given.node.asked))
+            seeds = [s for s in self.config.seeds if s != self.config.advertise]
+            self._send(self.node.start(self._clock.now_us(), seeds))
+            self._schedule_tick()
+            if seeds:
+                await self._wait_for_answers(min(len(seeds), self.config.node.start_contacts))
         self._scheduler_sync.adopt(self._clock.now_us())
         for periodic in self._periodic:
             periodic.start()
         log.info("learned_at_start", facts=self.node.knowledge.count, peers=len(self.node.answered),
-                 seconds=round(time.monotonic() - began, 3))
+                 seconds=round(time.monotonic() - started, 3))
 
-    async def _first_answers(self, wanted: int) -> None:
-        """Wait until as many as were asked have answered or cannot be reached, but only so long."""
-        transport, until = self.transport, time.monotonic() + self.given.start.total_seconds()
+    async def _wait_for_answers(self, wanted: int) -> None:
+        """Wait until ``wanted`` members have answered or failed to connect, or until the time is over."""
+        transport, deadline = self.transport, time.monotonic() + self.config.start_wait.total_seconds()
         assert transport
-        while len(self.node.answered) < wanted and (left := until - time.monotonic()) > 0:
-            if transport.failures >= len(self.given.seeds) and not self.node.answered:
-                return  # nobody is there
-            if len(self.node.answered) + transport.failures >= wanted and self.node.answered:
+        while len(self.node.answered) < wanted and (remaining := deadline - time.monotonic()) > 0:
+            if transport.connect_failures >= len(self.config.seeds) and not self.node.answered:
+                return  # no seed can be reached
+            if len(self.node.answered) + transport.connect_failures >= wanted and self.node.answered:
                 return
-            self._answered.clear()
+            self._answer_received.clear()
             try:
-                await asyncio.wait_for(self._answered.wait(), min(left, 0.02))
+                await asyncio.wait_for(self._answer_received.wait(), min(remaining, 0.02))
             except TimeoutError:
                 continue
 
     async def stop(self) -> None:
-        """Say goodbye, keep what is known, end all connections."""
+        """Publish and save the last facts, announce the departure and close all connections."""
         for periodic in self._periodic:
             periodic.stop()
         self._scheduler_sync.publish(self._clock.now_us())
         if self._timer is not None:
             IOLoop.current().remove_timeout(self._timer)
-        if self._file:
+        if self._snapshot_file:
             self._save()
         if self.transport:
             self._send(self.node.swim.leave())
             await asyncio.sleep(0.05)
             await self.transport.close()
 
-    def prepare(self, given: PeersConfig) -> Callable[[], list[str]]:
-        """Read other names and keys; return what brings them in force without dropping members.
+    def prepare(self, config: PeersConfig) -> Callable[[], list[str]]:
+        """Read a changed configuration and its keys; return a function that applies it.
 
-        That in turn returns what waits for the next start. Raises ConfigError, and nothing has changed.
+        That function keeps connections to permitted members open and returns the keys of the settings that
+        only a restart applies. Raises ConfigError, after which everything is unchanged.
         """
-        kept = [what for what in ("listen", "advertise", "cluster", "node", "learning", "snapshot")
-                if getattr(given, what) != getattr(self.given, what)]
+        needs_restart = [field for field in ("listen", "advertise", "cluster", "node", "learning", "snapshot")
+                         if getattr(config, field) != getattr(self.config, field)]
         keys = self.keys
-        if keys and given.keys:
+        if keys and config.keys:
             try:
-                keys = keys.renewed(given.keys, self._clock.now())
+                keys = keys.reloaded(config.keys, self._clock.now())
             except KeyFileError as error:
                 raise ConfigError(f"peers.tls: {error}") from None
 
         def commit() -> list[str]:
             if self.transport and keys:
                 self.keys = keys
-                self.transport.use(keys)
-                self.transport.allow(given.policy)
+                self.transport.set_keys(keys)
+                self.transport.set_policy(config.policy)
                 log.info("peer_keys_read", expires=keys.expires.isoformat())
-                if new := set(given.seeds) - self._asked:
-                    self._asked |= new
-                    self._send(self.node.start(self._clock.now_us(), sorted(new)))
-            return [f"peers.{what}" for what in kept]
+                if new_seeds := set(config.seeds) - self._contacted:
+                    self._contacted |= new_seeds
+                    self._send(self.node.start(self._clock.now_us(), sorted(new_seeds)))
+            return [f"peers.{field}" for field in needs_restart]
 
         return commit
 
-    # Messages and time.
+    # Messages and timer.
 
-    def _send(self, out: list[Out]) -> None:
+    def _send(self, out: list[Outgoing]) -> None:
         if self.transport:
             for name, address, message in out:
                 self.transport.send(name, address, message)
@@ -149,35 +151,35 @@
         now, before = self._clock.now_us(), len(self.node.answered)
         self._send(self.node.receive(now, sender, message))
         if len(self.node.answered) != before:
-            self._answered.set()
-        self._note_changes()
-        self._plan()
+            self._answer_received.set()
+        self._log_changes()
+        self._schedule_tick()
 
-    def _plan(self) -> None:
+    def _schedule_tick(self) -> None:
         loop = IOLoop.current()
         if self._timer is not None:
             loop.remove_timeout(self._timer)
         wait = span(self.node.due() - self._clock.now_us())
-        self._timer = loop.add_timeout(max(wait, LEAST_PAUSE), self._tick)
+        self._timer = loop.add_timeout(max(wait, MIN_TICK_DELAY), self._tick)
 
     def _tick(self) -> None:
         self._timer = None
         self._send(self.node.tick(self._clock.now_us()))
-        self._note_changes()
-        self._plan()
+        self._log_changes()
+        self._schedule_tick()
 
-    def _note_changes(self) -> None:
+    def _log_changes(self) -> None:
         for change in self.node.take_changes():
-            told = {"peer": change.name, "incarnation": change.incarnation, "members": self.node.swim.size}
-            match change.standing:
-                case Standing.ALIVE:
-                    log.info("peer_alive", **told)
-                case Standing.SUSPECT:
-                    log.info("peer_suspected", **told)
-                case Standing.DEAD:
-                    log.warning("peer_dead", **told)
-                case Standing.LEFT:
-                    log.info("peer_left", **told)
+            fields = {"peer": change.name, "incarnation": change.incarnation, "members": self.node.swim.size}
+            match change.status:
+                case MemberStatus.ALIVE:
+                    log.info("peer_alive", **fields)
+                case MemberStatus.SUSPECT:
+                    log.info("peer_suspected", **fields)
+                case MemberStatus.DEAD:
+                    log.warning("peer_dead", **fields)
+                case MemberStatus.LEFT:
+                    log.info("peer_left", **fields)
 
     # Learning.
 
@@ -187,12 +189,12 @@
         self._scheduler_sync.adopt(now)
 
     def _save(self) -> None:
-        assert self._file
-        self._file.write(self.node.knowledge, self._clock.now_us())
+        assert self._snapshot_file
+        self._snapshot_file.write(self.node.knowledge, self._clock.now_us())
 
-    def _care(self) -> None:
+    def _maintain(self) -> None:
         if self.transport and self.keys:
-            self.transport.sweep()
+            self.transport.close_expired()
             self.keys.check(self._clock.now())
 
 
--- a/hazellead/peers/swim.py
+++ b/hazellead/peers/swim.py
@@ -1,17 +1,18 @@
-"""Who is there: SWIM with suspicion and incarnations, and Lifeguard's local health. Sans-I/O.
+"""Group membership by SWIM with suspicion and incarnations, and Lifeguard's local health. Sans-I/O.
 
 After Das, Gupta and Motivala, SWIM (2002), and Dadgar, Phillips and Currey, Lifeguard (2017):
 
-- each period one member is pinged, in a shuffled round; if it does not answer, a few others are asked to try;
-- one that still does not answer is suspected, and dies when nobody has refuted that in time; independent
-  suspicions shorten the time, logarithmically;
-- a member that misses answers or hears itself suspected doubts its own health first: it waits for longer and
-  suspects later (local health multiplier), and helpers say so when they too got no answer (nack);
-- a suspect is told so with the next ping to it, so that it can refute at once (buddy system);
-- word travels on the messages themselves, the newest first, each a few times log n.
-
-Dead members are remembered for some time and asked now and then, so that two halves of a partition find each
-other again.
+- in each period one member is pinged, in shuffled order; if it does not answer, a few helpers ping it;
+- a member that still does not answer is suspected, and declared dead unless the suspicion is refuted in time;
+  independent suspicions shorten that time, logarithmically;
+- a member that misses answers or learns that it is suspected assumes first that it is unhealthy itself: it
+  waits longer for answers and suspects later (local health multiplier), and helpers that got no answer either
+  say so (nack);
+- the next ping to a suspect includes the suspicion, so that it can refute at once (buddy system);
+- member updates are piggybacked on these messages, the least often sent first, each a few times log n.
+
+Dead members are kept for some time and contacted now and then, so that the two sides of a healed partition
+find each other again.
 """
 
 import math
@@ -21,62 +22,62 @@
 from hazellead.peers.messages import (
     Ack,
     Bounds,
+    MemberStatus,
+    MemberUpdate,
     Message,
     Nack,
     Ping,
     PingRequest,
-    Rumour,
-    Standing,
     Sync,
 )
 
 MS = 1000
-NACK_PART = 0.8  # of the time for an answer, after which a helper says that it got none
+NACK_FRACTION = 0.8  # a helper sends a nack after this fraction of the ack timeout
 
 
 @dataclass(slots=True, frozen=True)
 class SwimSettings:
-    """Times in microseconds."""
+    """Parameters of the protocol. Times in microseconds."""
 
     period_us: int = 500 * MS
-    timeout_us: int = 200 * MS  # for a direct answer
+    ack_timeout_us: int = 200 * MS  # for the answer to a direct ping
     helpers: int = 3
-    suspicion: float = 3.0  # times log10(n) periods: the least a suspicion lasts
-    suspicion_most: float = 4.0  # times the least: how long without confirmation
-    confirmations: int = 3
-    spread: float = 3.0  # times log2(n): how often a rumour is passed on
-    health_most: int = 8
-    sync_us: int = 10_000 * MS  # between whole exchanges with one member
-    forget_us: int = 600_000 * MS  # the dead
-    most_members: int = 4096
+    suspicion_factor: float = 3.0  # times log10(n) periods: the shortest suspicion
+    suspicion_max_factor: float = 4.0  # times the shortest: a suspicion without confirmations
+    confirmations: int = 3  # independent suspicions that reduce the time to the shortest
+    gossip_factor: float = 3.0  # times log2(n): how often a member update is sent
+    max_local_health: int = 8
+    sync_us: int = 10_000 * MS  # between exchanges of the whole member list with one member
+    dead_retention_us: int = 600_000 * MS  # how long dead members and those that left are kept
+    max_members: int = 4096
 
 
 @dataclass(slots=True)
 class Member:
-    """What is held of one member."""
+    """State of one other member; ``since`` is the time of its last change of status."""
 
     name: str
     address: str
     incarnation: int
-    standing: Standing
+    status: MemberStatus
     since: int
 
     @property
-    def there(self) -> bool:
-        """Say whether it counts as a member: alive or only suspected."""
-        return self.standing in (Standing.ALIVE, Standing.SUSPECT)
+    def is_active(self) -> bool:
+        """Whether the member is alive or suspected."""
+        return self.status in (MemberStatus.ALIVE, MemberStatus.SUSPECT)
 
-    def rumour(self, by: str = "") -> Rumour:
-        """Return word of it as it stands."""
-        return Rumour(self.name, self.address, self.incarnation, int(self.standing), by)
+    def update(self, reported_by: str = "") -> MemberUpdate:
+        """Return the member's current state as an update for other members."""
+        return MemberUpdate(self.name, self.address, self.incarnation, int(self.status), reported_by)
 
 
 @dataclass(slots=True, frozen=True)
-class Change:
-    """A member has come, is suspected, is back, has died or left; for the log and whoever counts."""
+class MemberChange:
+    """A change of a member's status: it joined, recovered, is suspected, was declared dead or left."""
 
     name: str
-    standing: Standing
+    status: MemberStatus
     incarnation: int
 
 
@@ -84,211 +85,213 @@
 class _Probe:
     target: str
     seq: int
-    asked: int  # when helpers are asked
-    ends: int  # when the target is suspected
-    helped: bool = False
+    helpers_at: int  # when helpers are asked to ping the target
+    ends_at: int  # when the target is suspected
+    helpers_asked: bool = False
     nacks_due: int = 0
 
 
 @dataclass(slots=True)
 class _Relay:
-    """A ping made for another."""
+    """A ping sent on behalf of another member; ``seq`` is the number of that member's request."""
 
-    asker: str
+    requester: str
     seq: int
     nack_at: int
-    until: int
+    expires_at: int
 
 
-Out = tuple[str, str, Message]  # name, address, message
+Outgoing = tuple[str, str, Message]  # name, address, message
 
 
 class Swim:
-    """One member's view. Feed it time by ``tick`` and messages by ``receive``; both return what to send."""
+    """The membership as one member sees it. ``tick`` and ``receive`` return the messages to send."""
 
     def __init__(
         self, name: str, address: str, settings: SwimSettings, rng: Random, incarnation: int = 0,
         bounds: Bounds | None = None,
     ) -> None:
-        """Know only oneself."""
+        """Start without other members."""
         self.name, self.address, self.settings, self._rng = name, address, settings, rng
         self.incarnation, self._bounds = incarnation, bounds or Bounds()
         self.members: dict[str, Member] = {}
-        self._there: list[Member] | None = None
-        self.changes: list[Change] = []  # taken by whoever owns this
-        self.health = 0  # 0: well
+        self._active_cache: list[Member] | None = None
+        self.changes: list[MemberChange] = []  # cleared by the caller that reads them
+        self.local_health = 0  # 0 is healthy; timeouts grow with it
         self.leaving = False
         self._seq = 0
-        self._round: list[str] = []
-        self._next = self._next_sync = -1
+        self._ping_order: list[str] = []
+        self._next_ping_at = self._next_sync_at = -1
         self._probe: _Probe | None = None
         self._relays: dict[int, _Relay] = {}
-        self._queue: dict[str, tuple[Rumour, int]] = {}  # by member, with how often it was passed on
-        self._confirmed: dict[str, set[str]] = {}
-        self._suspected: dict[str, int] = {}  # since when
+        self._gossip_queue: dict[str, tuple[MemberUpdate, int]] = {}  # by member, with transmissions
+        self._reporters: dict[str, set[str]] = {}  # by suspect: members that reported the suspicion
+        self._suspected: dict[str, int] = {}  # by suspect: start of the suspicion
 
-    # What others see.
+    # Queries.
 
-    def there(self) -> list[Member]:
-        """Return the members that count as there, without oneself."""
-        if self._there is None:  # asked for with every message: a search each time is most of the cost
-            self._there = [m for m in self.members.values() if m.there]
-        return self._there
+    def active_members(self) -> list[Member]:
+        """Return the other members that are alive or suspected."""
+        if self._active_cache is None:  # read for every message; a search each time was most of the cost
+            self._active_cache = [m for m in self.members.values() if m.is_active]
+        return self._active_cache
 
     @property
     def size(self) -> int:
-        """Return how many there are, oneself included."""
-        return 1 + len(self.there())
+        """Return the number of active members, this one included."""
+        return 1 + len(self.active_members())
 
     def due(self) -> int:
-        """Return when ``tick`` is wanted next."""
-        times = [self._next] + [self._next_sync] * (self._next_sync >= 0)
+        """Return the time at which ``tick`` must be called next."""
+        deadlines = [self._next_ping_at] + [self._next_sync_at] * (self._next_sync_at >= 0)
         if self._probe:
-            times.append(self._probe.ends if self._probe.helped else self._probe.asked)
-        times += [r.nack_at for r in self._relays.values()]
+            deadlines.append(self._probe.ends_at if self._probe.helpers_asked else self._probe.helpers_at)
+        deadlines += [r.nack_at for r in self._relays.values()]
         if self._suspected:
-            times.append(min(self._dies_at(name) for name in self._suspected))
-        return min(times)
+            deadlines.append(min(self._suspicion_ends_at(name) for name in self._suspected))
+        return min(deadlines)
 
     # Time.
 
-    def tick(self, now: int) -> list[Out]:
-        """Do what is due."""
-        out: list[Out] = []
-        if self._next < 0:
-            # Members started together do not ping in step.
-            self._next = now + int(self._rng.random() * self.settings.period_us)
-            self._next_sync = now + int(self._rng.random() * self.settings.sync_us)
-        out += self._relayed(now)
-        out += self._probing(now)
-        for name in [n for n in self._suspected if self._dies_at(n) <= now]:
-            self._say(now, self.members[name], Standing.DEAD)
-        if self._next <= now:
-            late = now - self._next
-            if late > 2 * self.settings.period_us:
-                # Guards others against our own pause: what we have not read yet is no sign of their death.
-                self._unwell(1)
+    def tick(self, now: int) -> list[Outgoing]:
+        """Perform all actions that are due; return the messages to send."""
+        out: list[Outgoing] = []
+        if self._next_ping_at < 0:
+            # Random offsets, so that members started together do not ping at the same time.
+            self._next_ping_at = now + int(self._rng.random() * self.settings.period_us)
+            self._next_sync_at = now + int(self._rng.random() * self.settings.sync_us)
+        out += self._send_nacks(now)
+        out += self._advance_probe(now)
+        for name in [n for n in self._suspected if self._suspicion_ends_at(n) <= now]:
+            self._set_status(now, self.members[name], MemberStatus.DEAD)
+        if self._next_ping_at <= now:
+            delay = now - self._next_ping_at
+            if delay > 2 * self.settings.period_us:
+                # After a pause of this process answers may be unread, which is no sign that others failed.
+                self._adjust_local_health(1)
                 self._probe = None
-                self._suspected = {n: max(at, now - self._lasts(n) // 2) for n, at in self._suspected.items()}
-            self._next = now + self.settings.period_us
+                self._suspected = {
+                    n: max(at, now - self._suspicion_us(n) // 2) for n, at in self._suspected.items()}
+            self._next_ping_at = now + self.settings.period_us
             out += self._ping_next(now)
-        if 0 <= self._next_sync <= now:
-            self._next_sync = now + int(self.settings.sync_us * (0.75 + self._rng.random() / 2))
+        if 0 <= self._next_sync_at <= now:
+            self._next_sync_at = now + int(self.settings.sync_us * (0.75 + self._rng.random() / 2))
             out += self._sync_one(now)
         return out
 
-    def _ping_next(self, now: int) -> list[Out]:
-        if self._probe is not None:  # local health has stretched it past the period
+    def _ping_next(self, now: int) -> list[Outgoing]:
+        if self._probe is not None:  # poor local health extends a probe past the period
             return []
-        while self._round:
-            member = self.members.get(self._round.pop())
-            if member and member.there:
+        while self._ping_order:
+            member = self.members.get(self._ping_order.pop())
+            if member and member.is_active:
                 break
         else:
-            self._round = [m.name for m in self.there()]
-            self._rng.shuffle(self._round)
-            if not self._round:
+            self._ping_order = [m.name for m in self.active_members()]
+            self._rng.shuffle(self._ping_order)
+            if not self._ping_order:
                 return []
-            member = self.members[self._round.pop()]
+            member = self.members[self._ping_order.pop()]
         self._seq += 1
-        wait = self.settings.timeout_us * (1 + self.health)
+        wait = self.settings.ack_timeout_us * (1 + self.local_health)
         self._probe = _Probe(member.name, self._seq, now + wait,
-                             now + max(self.settings.period_us * (1 + self.health), 2 * wait))
-        return [(member.name, member.address, Ping(self._seq, member.name, self._gossip(member.name)))]
+                             now + max(self.settings.period_us * (1 + self.local_health), 2 * wait))
+        return [(member.name, member.address, Ping(self._seq, member.name, self._updates_for(member.name)))]
 
-    def _probing(self, now: int) -> list[Out]:
-        probe, out = self._probe, list[Out]()
+    def _advance_probe(self, now: int) -> list[Outgoing]:
+        probe, out = self._probe, list[Outgoing]()
         if probe is None:
             return out
         member = self.members.get(probe.target)
-        if member is None or not member.there:
+        if member is None or not member.is_active:
             self._probe = None
-        elif not probe.helped and probe.asked <= now:
-            probe.helped = True
-            others = [m for m in self.there() if m.name != probe.target and m.standing is Standing.ALIVE]
+        elif not probe.helpers_asked and probe.helpers_at <= now:
+            probe.helpers_asked = True
+            others = [m for m in self.active_members()
+                      if m.name != probe.target and m.status is MemberStatus.ALIVE]
             for helper in self._rng.sample(others, min(self.settings.helpers, len(others))):
                 probe.nacks_due += 1
                 out.append((helper.name, helper.address, PingRequest(
-                    probe.seq, member.name, member.address, self._gossip(helper.name))))
-        elif probe.helped and probe.ends <= now:
+                    probe.seq, member.name, member.address, self._updates_for(helper.name))))
+        elif probe.helpers_asked and probe.ends_at <= now:
             self._probe = None
-            # Helpers that say nothing at all point at us.
-            self._unwell(probe.nacks_due if probe.nacks_due else 1)
-            self._say(now, member, Standing.SUSPECT)
+            # Missing nacks mean that this member's own connection is the likely cause.
+            self._adjust_local_health(probe.nacks_due if probe.nacks_due else 1)
+            self._set_status(now, member, MemberStatus.SUSPECT)
         return out
 
-    def _relayed(self, now: int) -> list[Out]:
-        out: list[Out] = []
+    def _send_nacks(self, now: int) -> list[Outgoing]:
+        out: list[Outgoing] = []
         for seq, relay in list(self._relays.items()):
             if relay.nack_at <= now:
-                relay.nack_at = relay.until
-                if asker := self.members.get(relay.asker):
-                    out.append((asker.name, asker.address, Nack(relay.seq)))
-            if relay.until <= now:
+                relay.nack_at = relay.expires_at
+                if requester := self.members.get(relay.requester):
+                    out.append((requester.name, requester.address, Nack(relay.seq)))
+            if relay.expires_at <= now:
                 del self._relays[seq]
         return out
 
-    def _sync_one(self, now: int) -> list[Out]:
-        """Exchange everything with one member; with one of the dead instead, now and then."""
+    def _sync_one(self, now: int) -> list[Outgoing]:
+        """Exchange the member list with a random active and a random dead member; drop old dead members."""
         for name in [m.name for m in self.members.values()
-                     if not m.there and now - m.since > self.settings.forget_us]:
+                     if not m.is_active and now - m.since > self.settings.dead_retention_us]:
             del self.members[name]
-            self._queue.pop(name, None)
-        there = self.there()
-        gone = [m for m in self.members.values() if m.standing is Standing.DEAD]
-        out: list[Out] = []
-        if there:
-            m = self._rng.choice(there)
+            self._gossip_queue.pop(name, None)
+        active = self.active_members()
+        dead = [m for m in self.members.values() if m.status is MemberStatus.DEAD]
+        out: list[Outgoing] = []
+        if active:
+            m = self._rng.choice(active)
             out.append((m.name, m.address, self.sync()))
-        if gone:
-            # A partition that has healed is noticed here and nowhere else.
-            m = self._rng.choice(gone)
+        if dead:
+            # Only this detects that a partition has healed.
+            m = self._rng.choice(dead)
             out.append((m.name, m.address, self.sync()))
         return out
 
-    def _unwell(self, by: int) -> None:
-        self.health = max(0, min(self.settings.health_most, self.health + by))
+    def _adjust_local_health(self, change: int) -> None:
+        self.local_health = max(0, min(self.settings.max_local_health, self.local_health + change))
 
     # Messages.
 
-    def join(self, name: str, address: str) -> list[Out]:
-        """Ask one that may be there for all it holds."""
+    def join(self, name: str, address: str) -> list[Outgoing]:
+        """Return a request to a possible member for its member list."""
         return [(name, address, self.sync())]
 
     def sync(self, *, reply: bool = True) -> Sync:
-        """Return all that is held, oneself first."""
-        rumours = [self._own()] + [m.rumour() for m in self.members.values()]
-        return Sync(rumours[: self._bounds.rumours], reply)
+        """Return the member list, this member first."""
+        updates = [self._own_update()] + [m.update() for m in self.members.values()]
+        return Sync(updates[: self._bounds.updates], reply)
 
-    def leave(self) -> list[Out]:
-        """Tell some that one leaves; they tell the rest."""
+    def leave(self) -> list[Outgoing]:
+        """Return messages that announce this member's departure to a few members, which forward it."""
         self.leaving = True
-        rumour = Rumour(self.name, self.address, self.incarnation, Standing.LEFT, self.name)
-        there = self.there()
-        few = self._rng.sample(there, min(len(there), 2 * self.settings.helpers))
-        return [(m.name, m.address, Sync([rumour], reply=False)) for m in few]
+        update = MemberUpdate(self.name, self.address, self.incarnation, MemberStatus.LEFT, self.name)
+        active = self.active_members()
+        chosen = self._rng.sample(active, min(len(active), 2 * self.settings.helpers))
+        return [(m.name, m.address, Sync([update], reply=False)) for m in chosen]
 
-    def receive(self, now: int, sender: str, message: Message) -> list[Out]:
-        """Take one message in; ``sender`` is who the connection proved it to be."""
+    def receive(self, now: int, sender: str, message: Message) -> list[Outgoing]:
+        """Process a message and return the replies; ``sender`` is the name that its certificate proves."""
         member = self.members.get(sender)
         address = member.address if member else ""
         match message:
             case Ping():
-                self._hear(now, message.rumours)
+                self._apply_updates(now, message.updates)
                 if message.target != self.name or not address:
                     return []
-                return [(sender, address, Ack(message.seq, self._gossip(sender)))]
+                return [(sender, address, Ack(message.seq, self._updates_for(sender)))]
             case Ack():
-                self._hear(now, message.rumours)
-                return self._acked(message.seq, sender)
+                self._apply_updates(now, message.updates)
+                return self._receive_ack(message.seq, sender)
             case PingRequest():
-                self._hear(now, message.rumours)
-                return self._help(now, sender, message)
+                self._apply_updates(now, message.updates)
+                return self._relay_ping(now, sender, message)
             case Nack():
                 if self._probe and self._probe.seq == message.seq:
                     self._probe.nacks_due = max(0, self._probe.nacks_due - 1)
             case Sync():
-                self._hear(now, message.rumours)
+                self._apply_updates(now, message.updates)
                 member = self.members.get(sender)
                 if message.reply and member:
                     return [(sender, member.address, self.sync(reply=False))]
@@ -296,116 +299,123 @@
                 pass
         return []
 
-    def _acked(self, seq: int, sender: str) -> list[Out]:
+    def _receive_ack(self, seq: int, sender: str) -> list[Outgoing]:
         if self._probe and self._probe.seq == seq:
             self._probe = None
-            self._unwell(-1)
-        elif (relay := self._relays.get(seq)) and (asker := self.members.get(relay.asker)):
+            self._adjust_local_health(-1)
+        elif (relay := self._relays.get(seq)) and (requester := self.members.get(relay.requester)):
             del self._relays[seq]
-            return [(asker.name, asker.address, Ack(relay.seq, self._gossip(asker.name)))]
+            return [(requester.name, requester.address, Ack(relay.seq, self._updates_for(requester.name)))]
         return []
 
-    def _help(self, now: int, sender: str, message: PingRequest) -> list[Out]:
+    def _relay_ping(self, now: int, sender: str, message: PingRequest) -> list[Outgoing]:
         if len(self._relays) >= 64 or sender not in self.members or message.target == self.name:
             return []
         self._seq += 1
-        wait = self.settings.timeout_us
-        self._relays[self._seq] = _Relay(sender, message.seq, now + int(NACK_PART * wait), now + 4 * wait)
+        wait = self.settings.ack_timeout_us
+        self._relays[self._seq] = _Relay(sender, message.seq, now + int(NACK_FRACTION * wait), now + 4 * wait)
         known = self.members.get(message.target)
         address = known.address if known else message.address
-        return [(message.target, address, Ping(self._seq, message.target, self._gossip(message.target)))]
+        return [(message.target, address, Ping(self._seq, message.target, self._updates_for(message.target)))]
 
-    # Rumours.
+    # Member updates.
 
-    def _own(self) -> Rumour:
-        standing = Standing.LEFT if self.leaving else Standing.ALIVE
-        return Rumour(self.name, self.address, self.incarnation, standing, self.name)
+    def _own_update(self) -> MemberUpdate:
+        status = MemberStatus.LEFT if self.leaving else MemberStatus.ALIVE
+        return MemberUpdate(self.name, self.address, self.incarnation, status, self.name)
 
-    def _gossip(self, to: str) -> list[Rumour]:
-        """Return the rumours that were passed on least, and to a suspect first that it is one."""
-        most = max(1, math.ceil(self.settings.spread * math.log2(self.size + 1)))
-        chosen: list[Rumour] = []
+    def _updates_for(self, to: str) -> list[MemberUpdate]:
+        """Return the least often sent updates; for a suspect, its own suspicion first."""
+        most = max(1, math.ceil(self.settings.gossip_factor * math.log2(self.size + 1)))
+        chosen: list[MemberUpdate] = []
         member = self.members.get(to)
-        if member and member.standing is Standing.SUSPECT:
-            chosen.append(member.rumour(self.name))
-        fresh = sorted(self._queue, key=lambda n: self._queue[n][1])
-        for name in fresh[: self._bounds.piggyback - len(chosen)]:
-            rumour, times = self._queue[name]
-            if name != to or rumour.standing != Standing.SUSPECT:
-                chosen.append(rumour)
-            if times + 1 >= most:
-                del self._queue[name]
+        if member and member.status is MemberStatus.SUSPECT:
+            chosen.append(member.update(self.name))
+        names = sorted(self._gossip_queue, key=lambda n: self._gossip_queue[n][1])
+        for name in names[: self._bounds.piggyback - len(chosen)]:
+            update, transmissions = self._gossip_queue[name]
+            if name != to or update.status != MemberStatus.SUSPECT:
+                chosen.append(update)
+            if transmissions + 1 >= most:
+                del self._gossip_queue[name]
             else:
-                self._queue[name] = (rumour, times + 1)
+                self._gossip_queue[name] = (update, transmissions + 1)
         return chosen
 
-    def _hear(self, now: int, rumours: list[Rumour]) -> None:
-        for rumour in rumours:
-            if rumour.name == self.name:
-                self._of_me(rumour)
+    def _apply_updates(self, now: int, updates: list[MemberUpdate]) -> None:
+        for update in updates:
+            if update.name == self.name:
+                self._refute(update)
             else:
-                self._set(now, rumour)
+                self._apply_update(now, update)
+
+    def _refute(self, update: MemberUpdate) -> None:
+        """Refute an update about this member by a higher incarnation.
 
-    def _of_me(self, rumour: Rumour) -> None:
-        """Refute word of one's own trouble, or of a life after this one that was forgotten over a restart."""
-        wrong = rumour.standing != Standing.ALIVE or rumour.address != self.address
-        if rumour.incarnation < self.incarnation or self.leaving or not (
-                wrong or rumour.incarnation > self.incarnation):
+        Applies to a wrong status or address, and to a higher incarnation from before a restart.
+        """
+        incorrect = update.status != MemberStatus.ALIVE or update.address != self.address
+        if update.incarnation < self.incarnation or self.leaving or not (
+                incorrect or update.incarnation > self.incarnation):
             return
-        if rumour.standing == Standing.SUSPECT:
-            self._unwell(1)
-        self.incarnation = rumour.incarnation + 1
-        self._queue[self.name] = (self._own(), 0)
-
-    def _say(self, now: int, member: Member, standing: Standing) -> None:
-        """Start a rumour of a member as it stands."""
-        self._set(now, Rumour(member.name, member.address, member.incarnation, int(standing), self.name))
-
-    def _set(self, now: int, rumour: Rumour) -> None:
-        """Follow one rumour if it overrides what is held."""
-        held, standing = self.members.get(rumour.name), Standing(rumour.standing)
-        if held is None:
-            if standing in (Standing.DEAD, Standing.LEFT) or len(self.members) >= self.settings.most_members:
+        if update.status == MemberStatus.SUSPECT:
+            self._adjust_local_health(1)
+        self.incarnation = update.incarnation + 1
+        self._gossip_queue[self.name] = (self._own_update(), 0)
+
+    def _set_status(self, now: int, member: Member, status: MemberStatus) -> None:
+        """Set a member's status and spread it as an update."""
+        self._apply_update(
+            now, MemberUpdate(member.name, member.address, member.incarnation, int(status), self.name))
+
+    def _apply_update(self, now: int, update: MemberUpdate) -> None:
+        """Apply an update if it overrides the known state of the member."""
+        member, status = self.members.get(update.name), MemberStatus(update.status)
+        if member is None:
+            if (status in (MemberStatus.DEAD, MemberStatus.LEFT)
+                    or len(self.members) >= self.settings.max_members):
                 return
-            held = self.members[rumour.name] = Member(
-                rumour.name, rumour.address, rumour.incarnation, Standing.LEFT, now)
-        elif rumour.incarnation < held.incarnation:
+            member = self.members[update.name] = Member(
+                update.name, update.address, update.incarnation, MemberStatus.LEFT, now)
+        elif update.incarnation < member.incarnation:
             return
-        elif rumour.incarnation == held.incarnation and standing <= held.standing:
-            if standing is Standing.SUSPECT and held.standing is Standing.SUSPECT:
-                self._confirm(rumour)
+        elif update.incarnation == member.incarnation and status <= member.status:
+            if status is MemberStatus.SUSPECT and member.status is MemberStatus.SUSPECT:
+                self._confirm_suspicion(update)
             return
-        held.address = rumour.address or held.address
-        was, held.incarnation, held.standing, held.since = held.standing, rumour.incarnation, standing, now
-        self._there = None
-        self._suspected.pop(rumour.name, None)
-        self._confirmed.pop(rumour.name, None)
-        if standing is Standing.SUSPECT:
-            self._suspected[rumour.name] = now
-            self._confirmed[rumour.name] = {rumour.by}
-        self._queue[rumour.name] = (rumour, 0)
-        if standing is not was or standing is not Standing.ALIVE:
-            self.changes.append(Change(rumour.name, standing, rumour.incarnation))
-
-    def _confirm(self, rumour: Rumour) -> None:
-        by = self._confirmed.setdefault(rumour.name, set())
-        if rumour.by and rumour.by not in by and len(by) <= self.settings.confirmations:
-            by.add(rumour.by)
-            self._queue[rumour.name] = (rumour, 0)  # an independent suspicion is news
-
-    def _lasts(self, name: str) -> int:
+        member.address = update.address or member.address
+        previous, member.incarnation, member.status, member.since = (
+            member.status, update.incarnation, status, now)
+        self._active_cache = None
+        self._suspected.pop(update.name, None)
+        self._reporters.pop(update.name, None)
+        if status is MemberStatus.SUSPECT:
+            self._suspected[update.name] = now
+            self._reporters[update.name] = {update.reported_by}
+        self._gossip_queue[update.name] = (update, 0)
+        if status is not previous or status is not MemberStatus.ALIVE:
+            self.changes.append(MemberChange(update.name, status, update.incarnation))
+
+    def _confirm_suspicion(self, update: MemberUpdate) -> None:
+        reporters = self._reporters.setdefault(update.name, set())
+        if (update.reported_by and update.reported_by not in reporters
+                and len(reporters) <= self.settings.confirmations):
+            reporters.add(update.reported_by)
+            self._gossip_queue[update.name] = (update, 0)  # sent again like a new update
+
+    def _suspicion_us(self, name: str) -> int:
         """Return how long a suspicion lasts.
 
-        Longer while few confirm it and while we are unwell ourselves.
+        It is longer with few confirmations and with poor local health.
         """
         s = self.settings
-        least = s.suspicion * max(1.0, math.log10(max(self.size, 2))) * s.period_us
-        most, confirmed = least * s.suspicion_most, max(0, len(self._confirmed.get(name, ())) - 1)
+        least = s.suspicion_factor * max(1.0, math.log10(max(self.size, 2))) * s.period_us
+        most, confirmations = least * s.suspicion_max_factor, max(0, len(self._reporters.get(name, ())) - 1)
         wanted = min(s.confirmations, max(0, self.size - 2))
         if wanted == 0:
-            return int(least * (1 + self.health / 2))
-        part = math.log(confirmed + 1) / math.log(wanted + 1)
-        return int(max(least, most - (most - least) * part) * (1 + self.health / 4))
+            return int(least * (1 + self.local_health / 2))
+        fraction = math.log(confirmations + 1) / math.log(wanted + 1)
+        return int(max(least, most - (most - least) * fraction) * (1 + self.local_health / 4))
 
-    def _dies_at(self, name: str) -> int:
-        return self._suspected[name] + self._lasts(name)
+    def _suspicion_ends_at(self, name: str) -> int:
+        return self._suspected[name] + self._suspicion_us(name)
--- a/hazellead/snapshots/__init__.py
+++ b/hazellead/snapshots/__init__.py
@@ -1,1 +1,1 @@
-"""The knowledge of an instance as a file, for a start at which nobody answers. Off where there is no disk."""
+"""Saves an instance's facts to a file, for a start at which no peer answers. Optional; needs a disk."""
--- a/hazellead/snapshots/file.py
+++ b/hazellead/snapshots/file.py
@@ -1,4 +1,4 @@
-"""Writes and reads the snapshot's file: whole or not at all."""
+"""Writes and reads the snapshot file atomically."""
 
 import os
 from contextlib import suppress
@@ -8,21 +8,24 @@
 import structlog
 
 from hazellead.learning.store import Knowledge
-from hazellead.snapshots.format import MOST, Snapshot, SnapshotError, decode, encode
+from hazellead.snapshots.format import MAX_BYTES, Snapshot, SnapshotError, decode, encode
 
 log = structlog.get_logger()
 
 
 class SnapshotFile:
-    """One file, written beside itself and renamed, so that a reader finds the old one or the new one."""
+    """A snapshot file, written under a temporary name and renamed, so that readers see whole files only."""
 
-    def __init__(self, path: Path, cluster: str, name: str, oldest: timedelta) -> None:
-        """Use this path for this member's knowledge."""
-        self._path, self._cluster, self._name, self._oldest = path, cluster, name, oldest
+    def __init__(self, path: Path, cluster: str, name: str, max_age: timedelta) -> None:
+        """Use ``path`` for the facts of member ``name``; snapshots older than ``max_age`` are refused."""
+        self._path, self._cluster, self._name, self._max_age = path, cluster, name, max_age
         self._failing = False
 
     def write(self, knowledge: Knowledge, now: int) -> bool:
-        """Write what is known; a failure is logged once until it works again, and changes nothing."""
+        """Write all facts and return whether it succeeded.
+
+        A failure leaves the old file as it was; repeated failures are logged once.
+        """
         data = encode(Snapshot(self._cluster, self._name, now, knowledge.all_batches()))
         temporary = self._path.with_name(f"{self._path.name}.{os.getpid()}.tmp")
         try:
@@ -49,7 +52,7 @@
         return True
 
     def _sync_folder(self) -> None:
-        # The rename itself lasts only once the folder is written.
+        # The rename is only durable once the folder has been synced.
         descriptor = os.open(self._path.parent, os.O_RDONLY)
         try:
             os.fsync(descriptor)
@@ -57,22 +60,22 @@
             os.close(descriptor)
 
     def read(self, knowledge: Knowledge, now: int) -> int:
-        """Take in what the file holds; return how many facts that were. Anything wrong is one log line."""
+        """Merge the facts of the file and return how many were added; an unusable file is logged."""
         try:
             with self._path.open("rb") as file:
-                data = file.read(MOST + 1)
+                data = file.read(MAX_BYTES + 1)
         except FileNotFoundError:
             return 0
         except OSError as error:
             log.warning("snapshot_refused", path=str(self._path), reason=error.strerror)
             return 0
         try:
-            if len(data) > MOST:
-                raise SnapshotError(f"larger than {MOST} bytes")
-            snapshot = decode(data, cluster=self._cluster, now=now, oldest=self._oldest)
+            if len(data) > MAX_BYTES:
+                raise SnapshotError(f"larger than {MAX_BYTES} bytes")
+            snapshot = decode(data, cluster=self._cluster, now=now, max_age=self._max_age)
         except SnapshotError as error:
             log.warning("snapshot_refused", path=str(self._path), reason=str(error))
             return 0
-        taken = knowledge.merge(now, snapshot.batches)
-        log.info("snapshot_read", path=str(self._path), facts=taken, by=snapshot.name)
-        return taken
+        added = knowledge.merge(now, snapshot.batches)
+        log.info("snapshot_read", path=str(self._path), facts=added, by=snapshot.name)
+        return added
--- a/hazellead/snapshots/format.py
+++ b/hazellead/snapshots/format.py
@@ -1,4 +1,4 @@
-"""A snapshot's bytes: a fixed head with version, length and checksum, then msgpack. Pure."""
+"""Encoding of snapshots: a fixed header with version, length and checksum, then a msgpack body."""
 
 import struct
 from datetime import timedelta
@@ -11,56 +11,59 @@
 
 MAGIC = b"hzlSNAP\n"
 VERSION = 1
-HEAD = struct.Struct(">8sHQQ")  # magic, version, length of the body, xxh3 of version, length and body
-MOST = 16 * 1024 * 1024
+HEADER = struct.Struct(">8sHQQ")  # magic, version, length of the body, xxh3 of version, length and body
+MAX_BYTES = 16 * 1024 * 1024
 
 
 class SnapshotError(Exception):
-    """A snapshot that is not to be used; the text says why."""
+    """A snapshot is unusable; the message gives the reason."""
 
 
 class Snapshot(msgspec.Struct, frozen=True, array_like=True):
-    """What is kept: who wrote it, in which installation, when by its clock, and all that it knew."""
+    """The facts of member ``name`` of ``cluster``, written at ``written_us`` by that member's clock."""
 
     cluster: str
     name: str
-    taken: int  # microseconds since the epoch
+    written_us: int  # microseconds since the epoch
     batches: list[Batch]
 
 
 def encode(snapshot: Snapshot) -> bytes:
-    """Write a snapshot."""
+    """Encode a snapshot."""
     body = msgspec.msgpack.encode(snapshot)
-    return HEAD.pack(MAGIC, VERSION, len(body), _sum(VERSION, body)) + body
+    return HEADER.pack(MAGIC, VERSION, len(body), _checksum(VERSION, body)) + body
 
 
-def _sum(version: int, body: bytes) -> int:
+def _checksum(version: int, body: bytes) -> int:
     return xxhash.xxh3_64_intdigest(struct.pack(">HQ", version, len(body)) + body)
 
 
-def decode(data: bytes, *, cluster: str, now: int, oldest: timedelta) -> Snapshot:
-    """Read a snapshot, or raise SnapshotError: torn, foreign, newer than this version, or too old."""
-    if len(data) < HEAD.size:
-        raise SnapshotError(f"torn: {len(data)} bytes")
-    magic, version, length, checksum = HEAD.unpack_from(data)
+def decode(data: bytes, *, cluster: str, now: int, max_age: timedelta) -> Snapshot:
+    """Decode a snapshot written at most ``max_age`` before ``now``.
+
+    Raises SnapshotError if it is truncated, corrupt, of another cluster, of a newer version or too old.
+    """
+    if len(data) < HEADER.size:
+        raise SnapshotError(f"truncated: {len(data)} bytes")
+    magic, version, length, checksum = HEADER.unpack_from(data)
     if magic != MAGIC:
         raise SnapshotError("not a snapshot")
     if version > VERSION:
         raise SnapshotError(f"written by a newer version ({version})")
-    body = data[HEAD.size :]
+    body = data[HEADER.size :]
     if len(body) != length:
-        raise SnapshotError(f"torn: {len(body)} bytes of {length}")
-    if _sum(version, body) != checksum:
-        raise SnapshotError("its checksum does not match")
+        raise SnapshotError(f"truncated: {len(body)} bytes of {length}")
+    if _checksum(version, body) != checksum:
+        raise SnapshotError("checksum mismatch")
     try:
         snapshot = msgspec.msgpack.decode(body, type=Snapshot)
     except msgspec.MsgspecError as error:
         raise SnapshotError(f"unreadable: {error}") from None
     if snapshot.cluster != cluster:
         raise SnapshotError(f"of another installation: {snapshot.cluster!r}")
-    age = now - snapshot.taken
-    if age > to_us(oldest):
+    age = now - snapshot.written_us
+    if age > to_us(max_age):
         raise SnapshotError(f"{age // 1_000_000} s old")
     if age < -to_us(timedelta(minutes=5)):
-        raise SnapshotError("taken in the future")
+        raise SnapshotError("written in the future")
     return snapshot
--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -1,4 +1,4 @@
-"""Instances on real sockets: TLS, names, keys that change, peers that misbehave, and the whole program."""
+"""Peer service on real sockets: TLS, name policy, key reload, misbehaving peers and the whole program."""
 
 import asyncio
 import signal
@@ -38,7 +38,7 @@
 
 
 def keys(folder: Path, name: str, ca: trustme.CA = CA, **more: Any) -> dict[str, str]:
-    """Write an instance's keys and return the table that names them."""
+    """Write an instance's certificate and key; return its ``[peers.tls]`` table."""
     issued = ca.issue_cert(name, **more)
     issued.private_key_pem.write_to_path(folder / f"{name}.key")
     (folder / f"{name}.pem").write_bytes(b"".join(p.bytes() for p in issued.cert_chain_pems))
@@ -47,7 +47,7 @@
 
 
 class Learner:
-    """Stands for a scheduler: has seen the pace given, notes what it is to take over."""
+    """Fake scheduler: exports one worker's pace (none if ``pace`` is None) and records adopted estimates."""
 
     settings = replace(BASE, reports=False)
 
@@ -95,7 +95,7 @@
     return learner.learned[-1].workers[0].pace.value if learner.learned else 0.0
 
 
-def test_five_instances_meet_and_one_restarted_has_their_facts_at_its_start(tmp_path: Path) -> None:
+def test_a_restarted_instance_has_the_facts_of_its_peers_at_its_start(tmp_path: Path) -> None:
     async def case() -> None:
         ports = [free_port() for _ in range(5)]
         four = [config(tmp_path, f"n{i}", ports[i], ports[:i]) for i in range(4)]
@@ -106,14 +106,14 @@
             for _ in range(3):
                 began = time.monotonic()
                 async with instance(config(tmp_path, "n4", ports[4], ports[:4])) as (new, learner):
-                    assert time.monotonic() - began < 0.6  # 0.3 s and a busy machine
+                    assert time.monotonic() - began < 0.6  # 0.3 s plus delay on a busy machine
                     assert len(new.node.answered) >= 1 and pace_of(learner) > 1.5
                 await until(lambda: a.node.swim.size == 4)  # it has left
 
     run(case())
 
 
-def test_peers_that_never_answer_make_a_start_no_later_than_is_set(tmp_path: Path) -> None:
+def test_unresponsive_peers_delay_a_start_by_at_most_the_set_time(tmp_path: Path) -> None:
     async def case() -> None:
         silent = await asyncio.start_server(lambda r, w: asyncio.sleep(30), "127.0.0.1", port := free_port())
         began = time.monotonic()
@@ -121,19 +121,24 @@
             assert 0.25 < time.monotonic() - began < 0.6
         began = time.monotonic()
         async with instance(config(tmp_path, "n1", free_port(), [free_port(), free_port()])):
-            assert time.monotonic() - began < 0.25  # refused by all: there is nothing to wait for
+            assert time.monotonic() - began < 0.25  # all refuse the connection: no wait
         silent.close()
 
     run(case())
 
 
-async def stranger(port: int, context: ssl.SSLContext | None, *data: bytes, stay: float = 1.5) -> bytes:
-    """Connect, send, and return what was got until the other side closed; TimeoutError if it does not."""
+async def connect_and_send(
+    port: int, context: ssl.SSLContext | None, *data: bytes, timeout: float = 1.5,
+) -> bytes:
+    """Connect, send ``data`` and return the bytes received until the other side closes the connection.
+
+    Raises TimeoutError if it does not close it in time.
+    """
     try:
         reader, writer = await asyncio.open_connection("127.0.0.1", port, ssl=context)
         for part in data:
             writer.write(part)
-        got = await asyncio.wait_for(reader.read(-1), stay)
+        got = await asyncio.wait_for(reader.read(-1), timeout)
         writer.close()
         return got
     except (ConnectionError, ssl.SSLError):
@@ -148,34 +153,34 @@
     return c
 
 
-def test_whoever_cannot_prove_itself_gets_nothing_and_is_ended_soon(tmp_path: Path) -> None:
+def test_unauthenticated_connections_get_nothing_and_are_closed(tmp_path: Path) -> None:
     async def case() -> None:
         port = free_port()
         past = datetime.now(UTC) - timedelta(days=1)
-        bare = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-        bare.check_hostname = False
-        CA.configure_trust(bare)
+        without_certificate = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
+        without_certificate.check_hostname = False
+        CA.configure_trust(without_certificate)
         hello = encode(Hello("n9", "127.0.0.1:1", "hazellead"))
         old = context(tmp_path, "n9")
         old.maximum_version = ssl.TLSVersion.TLSv1_2
         async with instance(config(tmp_path, "n1", port, []), 2.0) as (service, _):
-            for who in (None, bare, context(tmp_path, "n9", FOREIGN), old,
+            for client_context in (None, without_certificate, context(tmp_path, "n9", FOREIGN), old,
                         context(tmp_path, "n9", not_after=past)):
-                assert await stranger(port, who, hello) in (b"", encode(Hello(
+                assert await connect_and_send(port, client_context, hello) in (b"", encode(Hello(
                     "n1", f"127.0.0.1:{port}", "hazellead")))
             own = encode(Hello("n1", f"127.0.0.1:{port}", "hazellead"))
             for data in (encode(Hello("n8", "x:1", "hazellead")), encode(Hello("n9", "x:1", "other")),
                          HEADER.pack(MAGIC, 1, 60_000_000) + b"x" * 100_000, b"GET / HTTP/1.1\r\n\r\n", b""):
-                assert await stranger(port, context(tmp_path, "n9"), data) in (own, b"")  # or a reset
+                assert await connect_and_send(port, context(tmp_path, "n9"), data) in (own, b"")  # or a reset
             outside = encode(Hello("x9", "x:1", "hazellead"))
-            assert await stranger(port, context(tmp_path, "x9"), outside) == own
-            assert not service.node.swim.members and not service.transport.names  # type: ignore[union-attr]
+            assert await connect_and_send(port, context(tmp_path, "x9"), outside) == own
+            assert not service.node.swim.members and not service.transport.connected  # type: ignore[union-attr]
             assert service.transport.refused >= 10  # type: ignore[union-attr]
 
     run(case())
 
 
-def test_a_proven_member_that_floods_stalls_or_garbles_is_ended_and_others_go_on(tmp_path: Path) -> None:
+def test_a_member_that_floods_stalls_or_sends_garbage_does_not_affect_others(tmp_path: Path) -> None:
     async def case() -> None:
         a, b = free_port(), free_port()
         hello = encode(Hello("n9", "127.0.0.1:1", "hazellead"))
@@ -184,34 +189,35 @@
             await until(lambda: one.node.swim.size == 2 and two.node.knowledge.count)
             for data in (HEADER.pack(MAGIC, 1, 1000) + b"x" * 10, HEADER.pack(MAGIC, 1, 60_000_000),
                          HEADER.pack(MAGIC, 1, 4) + b"\xc1" * 4, hello):
-                await stranger(a, context(tmp_path, "n9"), hello, data)  # ended, or it would time out
+                await connect_and_send(a, context(tmp_path, "n9"), hello, data)  # closed: no timeout
             from hazellead.peers.messages import Nack
-            with pytest.raises(TimeoutError):  # read at its rate, not ended
-                await stranger(a, context(tmp_path, "n9"), hello, encode(Nack(1)) * 20_000, stay=1.0)
+            with pytest.raises(TimeoutError):  # read at the limited rate, not closed
+                await connect_and_send(
+                    a, context(tmp_path, "n9"), hello, encode(Nack(1)) * 20_000, timeout=1.0)
             began = asyncio.get_running_loop().time()
             await asyncio.sleep(0.01)
-            assert asyncio.get_running_loop().time() - began < 0.2  # the loop is not taken
+            assert asyncio.get_running_loop().time() - began < 0.2  # the event loop is not blocked
             assert one.node.swim.size == 2 and pace_of(learner) > 1.2
 
     run(case())
 
 
-def test_keys_are_renewed_without_dropping_members_and_bad_ones_change_nothing(tmp_path: Path) -> None:
+def test_keys_are_reloaded_without_closing_connections_and_bad_keys_are_refused(tmp_path: Path) -> None:
     async def case() -> None:
         a, b = free_port(), free_port()
         given = config(tmp_path, "n1", a, [])
         async with instance(given, 2.0) as (one, _), instance(config(tmp_path, "n2", b, [a])) as (two, _):
-            await until(lambda: one.transport.names == ["n2"])  # type: ignore[union-attr]
+            await until(lambda: one.transport.connected == ["n2"])  # type: ignore[union-attr]
             held = one.transport._open["n2"]  # type: ignore[union-attr]
             before, soon = one.keys, datetime.now(UTC) + timedelta(days=2)
             keys(tmp_path, "n1", not_after=soon)
             assert one.prepare(given)() == []
             assert one.keys is not before and one.keys and one.keys.expires < soon + timedelta(seconds=1)
             now = one.keys
-            for spoil in ("expired", "garbled", "missing"):
-                if spoil == "expired":
+            for damage in ("expired", "garbled", "missing"):
+                if damage == "expired":
                     keys(tmp_path, "n1", not_after=datetime.now(UTC) - timedelta(hours=1))
-                elif spoil == "garbled":
+                elif damage == "garbled":
                     (tmp_path / "n1.pem").write_text("x")
                 else:
                     (tmp_path / "n1.pem").unlink()
@@ -227,7 +233,7 @@
     run(case())
 
 
-def test_a_snapshot_serves_where_nobody_answers(tmp_path: Path) -> None:
+def test_a_snapshot_is_used_if_no_peer_answers(tmp_path: Path) -> None:
     async def case() -> None:
         more = {"snapshot": {"path": "snap", "every_s": 1}}
         async with instance(config(tmp_path, "n1", free_port(), [], **more), 2.0):
@@ -236,7 +242,7 @@
         async with instance(config(tmp_path, "n1", free_port(), [free_port()], **more)) as (one, learner):
             assert pace_of(learner) > 1.5
             origins = {o.started_us for o, _ in one.node.knowledge.facts_for((Topic.PACE, "w-1"))}
-            assert one.node.knowledge.own_origin.started_us not in origins  # the earlier run is another origin
+            assert one.node.knowledge.own_origin.started_us not in origins  # an earlier run is another origin
         (tmp_path / "snap").write_bytes((tmp_path / "snap").read_bytes()[:-3])
         async with instance(config(tmp_path, "n1", free_port(), [], **more)) as (_, learner):
             assert not pace_of(learner) or pace_of(learner) == 1.0
@@ -244,26 +250,29 @@
     run(case())
 
 
-@pytest.mark.parametrize(("change", "words"), [
+@pytest.mark.parametrize(("change", "reason"), [
     ({"peers": {"lisen": "x"}}, "peers: object contains unknown field `lisen`"),
     ({"peers": {"ping_ms": "5s"}}, "peers.ping_ms: expected `int`"),
     ({"peers": {"ping_ms": 5}}, "peers.ping_ms: expected `int` >= 100"),
     ({"peers": {"ping_timeout_ms": 400}}, "peers.ping_timeout_ms: is at most half"),
     ({"peers": {"seeds": ["nowhere"]}}, "peers.seeds[0] is no address"),
-    ({"peers": {"names": "x*"}}, "our own name"), ({"peers": {"names": ""}}, "peers: members or names"),
+    ({"peers": {"names": "x*"}}, "this instance's name"),
+    ({"peers": {"names": ""}}, "peers: members or names"),
     ({"learning": {"clamp": 0.5}}, "learning.clamp: expected `float` > 1.0"),
     ({"learning": {"half_lives_s": {"speed": 1}}}, "learning.half_lives_s.speed: is none of pace"),
     ({"snapshot": {"every_s": 1}}, "snapshot: object missing required field `path`")])
-def test_a_setting_that_cannot_be_is_one_line_that_names_the_key(
-    tmp_path: Path, change: dict[str, Any], words: str,
+def test_an_invalid_setting_gives_a_one_line_error_that_names_the_key(
+    tmp_path: Path, change: dict[str, Any], reason: str,
 ) -> None:
     with pytest.raises(ConfigError) as error:
         config(tmp_path, "n1", 1234, [], **change)
-    assert words in str(error.value) and "\n" not in str(error.value)
+    assert reason in str(error.value) and "\n" not in str(error.value)
 
 
-def operators(folder: Path, name: str, http: int, peer: int, seeds: list[int], inventory: str) -> Path:
-    """Write an operator's file from the samples, with Gearman for its list of workers."""
+def write_operator_config(
+    folder: Path, name: str, http: int, peer: int, seeds: list[int], inventory: str,
+) -> Path:
+    """Write a configuration file from the samples, with Gearman and its inventory as worker list."""
     keys(folder, name)
     (folder / "inventory.csv").write_text("name,address,protocol,zone,model,state\n" + inventory)
     text = (ROOT / "deploy/gearman.toml").read_text()
@@ -281,14 +290,15 @@
     return folder / f"{name}.toml"
 
 
-def test_the_program_learns_reloads_keys_with_jobs_in_flight_and_says_goodbye(tmp_path: Path) -> None:
+def test_the_program_exchanges_facts_reloads_keys_and_leaves_with_jobs_in_flight(tmp_path: Path) -> None:
     async def case() -> None:
         https, peers, count = [free_port(), free_port()], [free_port(), free_port()], Counter[bytes]()
         worker = HttpWorker("post-3", count, lambda: https[0])
         worker.states = [{"state": "started"}]
         async with worker.serving():
             line = f"post-3,127.0.0.1:{worker.port},http,tartu-dc,mid-3c,up\n"
-            files = [operators(tmp_path, f"n{i}", https[i], peers[i], peers[:i], line) for i in (0, 1)]
+            files = [write_operator_config(tmp_path, f"n{i}", https[i], peers[i], peers[:i], line)
+                     for i in (0, 1)]
             programs = []
             for file in files:
                 p = await asyncio.create_subprocess_exec(
@@ -301,9 +311,9 @@
             await until(lambda: count[b"a"])
             first = programs[0].stderr
             assert first
-            for spoil, event in ((True, b"config_kept"), (False, b"config_read")):
+            for break_key, event in ((True, b"config_kept"), (False, b"config_read")):
                 keys(tmp_path, "n0")
-                if spoil:
+                if break_key:
                     (tmp_path / "n0.key").write_text("no key")
                 programs[0].send_signal(signal.SIGHUP)
                 while event not in (got := await first.readline()):
@@ -320,11 +330,11 @@
     run(case())
 
 
-def test_the_sample_file_is_read(tmp_path: Path) -> None:
+def test_the_sample_configuration_is_valid(tmp_path: Path) -> None:
     text = (ROOT / "deploy/peers.toml").read_text()
     (tmp_path / "peers.toml").write_text(text)
     given = load(tmp_path / "peers.toml", {})
-    assert given.peers and not given.gearman and given.peers.node.rate == 32 * 1024
+    assert given.peers and not given.gearman and given.peers.node.bytes_per_s == 32 * 1024
     (tmp_path / "peers.toml").write_text("serach = 1\n" + text)
     with pytest.raises(ConfigError, match="serach: unknown key"):
         load(tmp_path / "peers.toml", {})
