--- a/hazellead/learning/facts.py
+++ b/hazellead/learning/facts.py
@@ -18,13 +18,13 @@
 
     PACE = 1  # worker: its run times relative to the mean of all workers
     DELAY = 2  # worker: how long jobs waited for their start, in microseconds
-    SLOTS = 3  # worker: concurrent jobs
-    BLAME = 4  # worker: decayed count of failures
+    SLOTS = 3  # worker: number of jobs that it runs at once
+    BLAME = 4  # worker: failure score
     BROKE = 5  # worker: it failed without a change in the worker list, and counts as cold from then on
     DRAIN = 6  # worker: it announced a drain, during the run that began at ``worker_started_us``
     RUN = 7  # job class: mean run time in microseconds
     DEMAND = 8  # instance and tenant: slots per second that the instance's clients ask for
-    FACTOR = 9  # installation: the rate factor, which overload reduces
+    FACTOR = 9  # installation: factor on the rate of job starts, which overload reduces
 
 
 CAUTION_TOPICS = frozenset({Topic.BLAME, Topic.BROKE, Topic.DRAIN})
--- a/hazellead/learning/store.py
+++ b/hazellead/learning/store.py
@@ -210,7 +210,8 @@
         holders = self._by_key[fact.key]
         holders[origin] = fact
         if len(holders) > self.settings.witnesses + 1:
-            # Removes the weakest fact of another origin. The digest still covers it, so it is not sent again.
+            # The weakest fact of another origin is removed. The digest still covers it, so no peer sends it
+            # again.
             weakest = min((o for o in holders if o != self.own_origin), key=lambda o: (
                 holders[o].worker_started_us, holders[o].observed_us + min(holders[o].weight, 8.0) * 1e6))
             self._remove(weakest, fact.key)
@@ -226,7 +227,10 @@
     # Limits.
 
     def _evict_origin(self) -> bool:
-        """Remove the origin received longest ago, one without facts first; return False if there is none."""
+        """Remove an origin; return False if there is none.
+
+        Origins without facts go first, then those from which nothing was received for the longest time.
+        """
         others = [o for o in self._origins if o != self.own_origin]
         oldest = min(
             others, key=lambda o: (bool(self._origins[o].facts), self._origins[o].received_at), default=None)
--- a/hazellead/peers/swim.py
+++ b/hazellead/peers/swim.py
@@ -326,7 +326,7 @@
 
     def _updates_for(self, to: str) -> list[MemberUpdate]:
         """Return the least often sent updates; for a suspect, its own suspicion first."""
-        most = max(1, math.ceil(self.settings.gossip_factor * math.log2(self.size + 1)))
+        max_transmissions = max(1, math.ceil(self.settings.gossip_factor * math.log2(self.size + 1)))
         chosen: list[MemberUpdate] = []
         member = self.members.get(to)
         if member and member.status is MemberStatus.SUSPECT:
@@ -336,7 +336,7 @@
             update, transmissions = self._gossip_queue[name]
             if name != to or update.status != MemberStatus.SUSPECT:
                 chosen.append(update)
-            if transmissions + 1 >= most:
+            if transmissions + 1 >= max_transmissions:
                 del self._gossip_queue[name]
             else:
                 self._gossip_queue[name] = (update, transmissions + 1)
@@ -409,13 +409,14 @@
         It is longer with few confirmations and with poor local health.
         """
         s = self.settings
-        least = s.suspicion_factor * max(1.0, math.log10(max(self.size, 2))) * s.period_us
-        most, confirmations = least * s.suspicion_max_factor, max(0, len(self._reporters.get(name, ())) - 1)
+        shortest = s.suspicion_factor * max(1.0, math.log10(max(self.size, 2))) * s.period_us
+        longest, confirmations = (
+            shortest * s.suspicion_max_factor, max(0, len(self._reporters.get(name, ())) - 1))
         wanted = min(s.confirmations, max(0, self.size - 2))
         if wanted == 0:
-            return int(least * (1 + self.local_health / 2))
+            return int(shortest * (1 + self.local_health / 2))
         fraction = math.log(confirmations + 1) / math.log(wanted + 1)
-        return int(max(least, most - (most - least) * fraction) * (1 + self.local_health / 4))
+        return int(max(shortest, longest - (longest - shortest) * fraction) * (1 + self.local_health / 4))
 
     def _suspicion_ends_at(self, name: str) -> int:
         return self._suspected[name] + self._suspicion_us(name)
--- a/hazellead/peers/transport.py
+++ b/hazellead/peers/transport.py
@@ -31,7 +31,7 @@
     """Limits on connections and traffic with other members."""
 
     connections: int = 64
-    unauthenticated: int = 16  # connections accepted or being opened
+    unauthenticated: int = 16  # inbound, and again outbound, connections before authentication
     read_size: int = 64 * 1024  # bytes read at once
     write_buffer: int = 1024 * 1024  # bytes written and not yet sent to a member; a frame must fit
     queued_messages: int = 8  # messages queued for a member while its connection opens
--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -138,9 +138,9 @@
         reader, writer = await asyncio.open_connection("127.0.0.1", port, ssl=context)
         for part in data:
             writer.write(part)
-        got = await asyncio.wait_for(reader.read(-1), timeout)
+        received = await asyncio.wait_for(reader.read(-1), timeout)
         writer.close()
-        return got
+        return received
     except (ConnectionError, ssl.SSLError):
         return b""
 
@@ -161,19 +161,20 @@
         without_certificate.check_hostname = False
         CA.configure_trust(without_certificate)
         hello = encode(Hello("n9", "127.0.0.1:1", "hazellead"))
-        old = context(tmp_path, "n9")
-        old.maximum_version = ssl.TLSVersion.TLSv1_2
+        tls_1_2 = context(tmp_path, "n9")
+        tls_1_2.maximum_version = ssl.TLSVersion.TLSv1_2
         async with instance(config(tmp_path, "n1", port, []), 2.0) as (service, _):
-            for client_context in (None, without_certificate, context(tmp_path, "n9", FOREIGN), old,
-                        context(tmp_path, "n9", not_after=past)):
+            for client_context in (None, without_certificate, context(tmp_path, "n9", FOREIGN), tls_1_2,
+                                   context(tmp_path, "n9", not_after=past)):
                 assert await connect_and_send(port, client_context, hello) in (b"", encode(Hello(
                     "n1", f"127.0.0.1:{port}", "hazellead")))
-            own = encode(Hello("n1", f"127.0.0.1:{port}", "hazellead"))
+            own_hello = encode(Hello("n1", f"127.0.0.1:{port}", "hazellead"))
             for data in (encode(Hello("n8", "x:1", "hazellead")), encode(Hello("n9", "x:1", "other")),
                          HEADER.pack(MAGIC, 1, 60_000_000) + b"x" * 100_000, b"GET / HTTP/1.1\r\n\r\n", b""):
-                assert await connect_and_send(port, context(tmp_path, "n9"), data) in (own, b"")  # or a reset
-            outside = encode(Hello("x9", "x:1", "hazellead"))
-            assert await connect_and_send(port, context(tmp_path, "x9"), outside) == own
+                # A reset connection counts as no bytes.
+                assert await connect_and_send(port, context(tmp_path, "n9"), data) in (own_hello, b"")
+            not_allowed = encode(Hello("x9", "x:1", "hazellead"))
+            assert await connect_and_send(port, context(tmp_path, "x9"), not_allowed) == own_hello
             assert not service.node.swim.members and not service.transport.connected  # type: ignore[union-attr]
             assert service.transport.refused >= 10  # type: ignore[union-attr]
 
@@ -208,12 +209,12 @@
         given = config(tmp_path, "n1", a, [])
         async with instance(given, 2.0) as (one, _), instance(config(tmp_path, "n2", b, [a])) as (two, _):
             await until(lambda: one.transport.connected == ["n2"])  # type: ignore[union-attr]
-            held = one.transport._open["n2"]  # type: ignore[union-attr]
+            connection = one.transport._open["n2"]  # type: ignore[union-attr]
             before, soon = one.keys, datetime.now(UTC) + timedelta(days=2)
             keys(tmp_path, "n1", not_after=soon)
             assert one.prepare(given)() == []
             assert one.keys is not before and one.keys and one.keys.expires < soon + timedelta(seconds=1)
-            now = one.keys
+            current_keys = one.keys
             for damage in ("expired", "garbled", "missing"):
                 if damage == "expired":
                     keys(tmp_path, "n1", not_after=datetime.now(UTC) - timedelta(hours=1))
@@ -223,12 +224,12 @@
                     (tmp_path / "n1.pem").unlink()
                 with pytest.raises(ConfigError, match="peers.tls"):
                     one.prepare(given)
-                assert one.keys is now
-            assert one.transport._open["n2"] is held and not held.closed  # type: ignore[union-attr]
+                assert one.keys is current_keys
+            assert one.transport._open["n2"] is connection and not connection.closed  # type: ignore[union-attr]
             keys(tmp_path, "n1")
             policy = replace(given.policy, pattern="", listed=frozenset({"n1"}))
             one.prepare(replace(given, policy=policy))()
-            assert held.closed
+            assert connection.closed
 
     run(case())
 
@@ -305,9 +306,9 @@
                     sys.executable, "-m", "hazellead", str(file), cwd=ROOT, stderr=asyncio.subprocess.PIPE)
                 programs.append(p)
                 assert p.stderr
-                while b"event=ready" not in (got := await p.stderr.readline()):
-                    assert got, "ended"
-            held = asyncio.ensure_future(http_post(https[0], "/post-payment", b"a", HEADERS.format("1")))
+                while b"event=ready" not in (received := await p.stderr.readline()):
+                    assert received, "ended"
+            response = asyncio.ensure_future(http_post(https[0], "/post-payment", b"a", HEADERS.format("1")))
             await until(lambda: count[b"a"])
             first = programs[0].stderr
             assert first
@@ -316,10 +317,10 @@
                 if break_key:
                     (tmp_path / "n0.key").write_text("no key")
                 programs[0].send_signal(signal.SIGHUP)
-                while event not in (got := await first.readline()):
-                    assert got, "ended"
+                while event not in (received := await first.readline()):
+                    assert received, "ended"
             assert await worker.call_back("1", state="done", result="r") == 200
-            assert (await held)[::2] == (200, b"r")
+            assert (await response)[::2] == (200, b"r")
             for p in programs:
                 p.send_signal(signal.SIGTERM)
             rest = [await p.communicate() for p in programs]
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -161,12 +161,12 @@
 
 def test_without_relaying_a_member_can_only_send_its_own_facts() -> None:
     m = mesh(4, settings=NodeSettings(relay=False))
-    liar, target = m.peers["n1"], m.peers["n0"]
+    forger, target = m.peers["n1"], m.peers["n0"]
     forged = Batch(Origin("n2", 10**17), 1, [Fact(Topic.PACE, "w-9", 0, 9.0, 50.0, m.time.now_us(), 1)])
-    m._send(liar, [("n0", "n0", Delta(m.time.now_us(), [forged]))])
+    m._send(forger, [("n0", "n0", Delta(m.time.now_us(), [forged]))])
     m.time.run_us(S)
     assert not list(target.node.knowledge.facts_for((Topic.PACE, "w-9")))
-    publish(liar, m)
+    publish(forger, m)
     m.time.run_us(5 * S)
     assert members_with_fact(m) == 4  # from its origin to each
 
@@ -199,7 +199,7 @@
     assert s.local_health == 0 and s.members["b"].status is MemberStatus.ALIVE
 
 
-# The wire.
+# Messages.
 
 
 MESSAGES: list[Message] = [
