--- a/hazellead/learning/conversion.py
+++ b/hazellead/learning/conversion.py
@@ -136,7 +136,7 @@
         """Return the estimates that the local dispatcher can adopt now.
 
         ``defaults`` provides the values it would assume itself (run times and factor); ``quotas`` limits the
-        demand of each tenant, in slots per second.
+        demand of each tenant.
         """
         sources = len(self._knowledge.recent_members(now, SOURCE_TIMEOUT_US))
         drain_hold = to_us(self._settings.drain_hold)
--- a/hazellead/peers/config.py
+++ b/hazellead/peers/config.py
@@ -83,29 +83,29 @@
     snapshot_max_age: timedelta
 
 
-def _convert(table: str, struct: type[T], given: Any) -> T:
+def _convert(table: str, struct: type[T], value: Any) -> T:
     """Convert one table to its struct; a ConfigError names the key as it stands in the file."""
     try:
-        return msgspec.convert(given, struct, strict=True)
+        return msgspec.convert(value, struct, strict=True)
     except msgspec.ValidationError as error:
         text, _, path = str(error).partition(" - at `$")
         raise ConfigError(f"{table}{path.rstrip('`')}: {text[:1].lower()}{text[1:]}") from None
 
 
-def present(given: Mapping[str, Any]) -> bool:
+def present(tables: Mapping[str, Any]) -> bool:
     """Return whether a configuration has any of these tables."""
-    return any(key in given for key in ("peers", "learning", "snapshot"))
+    return any(key in tables for key in ("peers", "learning", "snapshot"))
 
 
-def read(given: Mapping[str, Any], folder: Path, name: str) -> PeersConfig:
+def read(tables: Mapping[str, Any], folder: Path, name: str) -> PeersConfig:
     """Read the tables; paths in them are relative to ``folder``. Raises ConfigError."""
-    if "peers" not in given and "snapshot" not in given:
+    if "peers" not in tables and "snapshot" not in tables:
         raise ConfigError("learning: needs [peers] or [snapshot] as a source of facts")
     if not name:
         raise ConfigError("name: is required with [peers] or [snapshot]")
-    peers = _convert("peers", _Peers, given["peers"]) if "peers" in given else None
-    learning = _convert("learning", _Learning, given.get("learning", {}))
-    snapshot = _convert("snapshot", _Snapshot, given["snapshot"]) if "snapshot" in given else None
+    peers = _convert("peers", _Peers, tables["peers"]) if "peers" in tables else None
+    learning = _convert("learning", _Learning, tables.get("learning", {}))
+    snapshot = _convert("snapshot", _Snapshot, tables["snapshot"]) if "snapshot" in tables else None
     if peers:
         _check(peers, name)
     listen = address(peers.listen, "peers.listen") if peers else None
@@ -145,13 +145,13 @@
         burst_bytes=2 * peers.rate_kib * 1024, start_contacts=peers.ask, relay=peers.relay, swim=swim)
 
 
-def _learning(given: _Learning) -> LearningSettings:
+def _learning(settings: _Learning) -> LearningSettings:
     half_lives = default_half_lives()
     topics = {topic.name.lower(): int(topic) for topic in Topic}
-    for key, seconds in given.half_lives_s.items():
+    for key, seconds in settings.half_lives_s.items():
         if key not in topics:
             raise ConfigError(f"learning.half_lives_s.{key}: is none of {', '.join(topics)}")
         half_lives[topics[key]] = seconds * 1_000_000
     return LearningSettings(
-        half_lives, given.clamp, given.alone, given.witnesses, given.most_facts,
-        drain_hold=timedelta(milliseconds=given.shun_ms), enabled=given.enabled)
+        half_lives, settings.clamp, settings.alone, settings.witnesses, settings.most_facts,
+        drain_hold=timedelta(milliseconds=settings.shun_ms), enabled=settings.enabled)
--- a/hazellead/peers/node.py
+++ b/hazellead/peers/node.py
@@ -119,13 +119,13 @@
     def _clock_offset(self, now: int, sender: str, sender_now: int) -> int:
         """Return the local clock minus the sender's, in microseconds.
 
-        It is about the smallest offset seen, since the delay of a message adds to the offset.
+        It is about the smallest offset measured, since the delay of a message adds to the offset.
         """
-        seen = now - sender_now
-        previous = self._clock_offsets.get(sender, seen)
-        if abs(seen - previous) > CLOCK_JUMP_US:
-            previous = seen
-        self._clock_offsets[sender] = offset = min(previous + MS, seen)
+        measured = now - sender_now
+        previous = self._clock_offsets.get(sender, measured)
+        if abs(measured - previous) > CLOCK_JUMP_US:
+            previous = measured
+        self._clock_offsets[sender] = offset = min(previous + MS, measured)
         if len(self._clock_offsets) > self.settings.swim.max_members:
             self._clock_offsets.pop(next(iter(self._clock_offsets)))
         return offset
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -93,7 +93,7 @@
 
 
 def test_a_fact_with_a_time_in_the_future_is_dated_now() -> None:
-    b, origin = knowledge("b"), Origin("liar", 1)
+    b, origin = knowledge("b"), Origin("a", 1)
     fact = Fact(Topic.PACE, "w-1", 0, 2.0, 5.0, NOW + 10**12, 1)
     b.merge(NOW, [Batch(origin, 1, [fact])])
     (_, fact), = b.facts_for((Topic.PACE, "w-1"))
@@ -226,7 +226,7 @@
     assert {a.worker for a in d.handle(NOW + 2 * S, more) if isinstance(a, api.Push)} - {4}
 
 
-def test_adopted_estimates_never_make_an_unlisted_worker_eligible() -> None:
+def test_adopted_estimates_never_make_a_draining_or_unlisted_worker_eligible() -> None:
     d = dispatcher(phase=api.Phase.DRAINING)  # type: ignore[arg-type]
     d.learn(known(*(KnownWorker(w, 0, pace=Estimate(0.1, 99, NOW)) for w in range(1, 9))))
     assert not [a for a in d.handle(NOW + 4000, [api.Arrival(1, 2, 5 * S)]) if isinstance(a, api.Push)]
--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -80,10 +80,10 @@
 
 @asynccontextmanager
 async def instance(
-    given: PeersConfig, pace: float | None = None, limits: PeerLimits = QUICK,
+    peers_config: PeersConfig, pace: float | None = None, limits: PeerLimits = QUICK,
 ) -> AsyncIterator[tuple[PeerService, Learner]]:
     learner = Learner(pace)
-    service = PeerService(given, learner, NAMES, Clock(), limits)
+    service = PeerService(peers_config, learner, NAMES, Clock(), limits)
     await service.start()
     try:
         yield service, learner
@@ -206,13 +206,13 @@
 def test_keys_are_reloaded_without_closing_connections_and_bad_keys_are_refused(tmp_path: Path) -> None:
     async def case() -> None:
         a, b = free_port(), free_port()
-        given = config(tmp_path, "n1", a, [])
-        async with instance(given, 2.0) as (one, _), instance(config(tmp_path, "n2", b, [a])) as (two, _):
+        n1_config = config(tmp_path, "n1", a, [])
+        async with instance(n1_config, 2.0) as (one, _), instance(config(tmp_path, "n2", b, [a])) as (two, _):
             await until(lambda: one.transport.connected == ["n2"])  # type: ignore[union-attr]
             connection = one.transport._open["n2"]  # type: ignore[union-attr]
             before, soon = one.keys, datetime.now(UTC) + timedelta(days=2)
             keys(tmp_path, "n1", not_after=soon)
-            assert one.prepare(given)() == []
+            assert one.prepare(n1_config)() == []
             assert one.keys is not before and one.keys and one.keys.expires < soon + timedelta(seconds=1)
             current_keys = one.keys
             for damage in ("expired", "garbled", "missing"):
@@ -223,12 +223,12 @@
                 else:
                     (tmp_path / "n1.pem").unlink()
                 with pytest.raises(ConfigError, match="peers.tls"):
-                    one.prepare(given)
+                    one.prepare(n1_config)
                 assert one.keys is current_keys
             assert one.transport._open["n2"] is connection and not connection.closed  # type: ignore[union-attr]
             keys(tmp_path, "n1")
-            policy = replace(given.policy, pattern="", listed=frozenset({"n1"}))
-            one.prepare(replace(given, policy=policy))()
+            policy = replace(n1_config.policy, pattern="", listed=frozenset({"n1"}))
+            one.prepare(replace(n1_config, policy=policy))()
             assert connection.closed
 
     run(case())
@@ -334,8 +334,8 @@
 def test_the_sample_configuration_is_valid(tmp_path: Path) -> None:
     text = (ROOT / "deploy/peers.toml").read_text()
     (tmp_path / "peers.toml").write_text(text)
-    given = load(tmp_path / "peers.toml", {})
-    assert given.peers and not given.gearman and given.peers.node.bytes_per_s == 32 * 1024
+    loaded = load(tmp_path / "peers.toml", {})
+    assert loaded.peers and not loaded.gearman and loaded.peers.node.bytes_per_s == 32 * 1024
     (tmp_path / "peers.toml").write_text("serach = 1\n" + text)
     with pytest.raises(ConfigError, match="serach: unknown key"):
         load(tmp_path / "peers.toml", {})
