--- a/hazellead/lab/soak/discovery.py
+++ b/hazellead/lab/soak/discovery.py
@@ -28,7 +28,7 @@
 class OutageKind(Enum):
     """How discovery fails in an outage."""
 
-    ALL_REFUSED = "all refused"  # watches get 503 at once, other calls after the longest wait
+    ALL_REFUSED = "all refused"  # waiting watches get 503 at once, other calls after the longest wait
     NOT_LISTENING = "not listening"
 
 
@@ -44,7 +44,7 @@
         self.calls_per_s, self.overload = 100.0, Overload.REFUSED_AT_ONCE
         self.outage: OutageKind | None = None
         self.malformed = False  # lists are cut off, so that they are not JSON
-        self._next_turn_at = 0.0
+        self._next_call_at = 0.0
         self.endpoints: dict[str, DiscoveryEndpoint] = {}
 
     async def open_for(self, slot: str) -> int:
@@ -83,16 +83,16 @@
             for endpoint in self.endpoints.values():
                 await endpoint.listener.listen()
         self.outage = None
-        self._next_turn_at = _now()
+        self._next_call_at = _now()
         self._records.outages[-1].end = _now()
 
-    async def wait_for_turn(self) -> bool:
+    async def admit_call(self) -> bool:
         """Wait until the rate limit admits a call; return False if the call is refused."""
         called_at = _now()
         while not self.outage:
-            at = max(_now(), self._next_turn_at) + 1 / self.calls_per_s
+            at = max(_now(), self._next_call_at) + 1 / self.calls_per_s
             if at <= called_at + MAX_QUEUE_WAIT_S:
-                self._next_turn_at = at
+                self._next_call_at = at
                 await asyncio.sleep(at - _now())
                 return not self.outage
             if self.overload is Overload.REFUSED_AT_ONCE:
@@ -103,6 +103,7 @@
         return not self.outage and _now() < called_at + MAX_QUEUE_WAIT_S
 
     async def _wait_for_outage_end(self, until: float) -> None:
+        """Wait until the outage ends, at most until ``until``."""
         while self.outage and _now() < until:
             await asyncio.sleep(POLL_INTERVAL_S)
 
@@ -148,7 +149,7 @@
         index = int(query["index"][0]) if "index" in query else None
         wait = int(query.get("wait", ["0"])[0]) / 1000
         continues = _now() - self._answered_at.get(connection, -1.0) <= WATCH_CONTINUES_S
-        if not continues and not await self._discovery.wait_for_turn():
+        if not continues and not await self._discovery.admit_call():
             connection.answer(503)
             return
         if not await self._wait_for_change(connection, index, _now() + wait):
--- a/hazellead/lab/soak/processes.py
+++ b/hazellead/lab/soak/processes.py
@@ -17,7 +17,7 @@
 KILL_AFTER_S = MAX_DEADLINE_S + 0.7  # from SIGTERM to SIGKILL: the shortest that the protocol allows
 READY_POLL_S = 0.02
 REQUEST_TIMEOUT_S = 0.5
-START_TIMEOUT_S = 30.0  # a process that is not ready by then fails to start
+START_TIMEOUT_S = 30.0  # a process that is not ready by then counts as not started
 ROOT = Path(__file__).parents[3]
 TENANTS = ("red", "blue")
 
@@ -80,6 +80,7 @@
             asyncio.get_running_loop().call_later(KILL_AFTER_S, self._kill_as_planned)
 
     def _kill_as_planned(self) -> None:
+        """Send the SIGKILL that follows SIGTERM, unless the process has exited."""
         if self.alive:
             self.life.killed_as_planned = True
             self.child.kill()
--- a/hazellead/lab/soak/referee.py
+++ b/hazellead/lab/soak/referee.py
@@ -13,7 +13,7 @@
 CLIENT_LEFT_GRACE_S = 0.1  # an attempt may still begin this soon after its client disconnected
 TIME_LEFT_SLACK_S = 0.15
 READY_WITHIN_S = 10.0
-CROSSING_S = 0.01  # the end of an idle connection may cross a request if it follows its first byte this soon
+CROSSING_S = 0.01  # a close this soon after a request's first byte may have crossed the request
 KILL_VISIBLE_S = 1.0  # clients notice within this time that a process was killed
 STALL_MARGIN_S = 0.1  # around a stall of the test process: its backlog is processed within this time
 REFUSAL_STATUSES = frozenset({429, 503})
@@ -41,6 +41,8 @@
 
 
 class _Referee:
+    """Checks each rule on the records of one run."""
+
     def __init__(self, records: Records) -> None:
         self._records = records
         self._by_request: dict[str, list[Attempt]] = defaultdict(list)
@@ -49,6 +51,7 @@
         self._departures = list(_departures(records.changes))
 
     def violations(self) -> Iterator[Violation]:
+        """Yield all violations, rule by rule."""
         for request in self._records.requests.values():
             attempts = self._by_request[request.identity]
             yield from self._check_final_answer(request, attempts)
@@ -70,6 +73,7 @@
     # One final answer per request.
 
     def _check_final_answer(self, request: Request, attempts: list[Attempt]) -> Iterator[Violation]:
+        """Report a request without exactly one answer, a late answer, or a result that no worker returned."""
         name, answers = request.identity, request.answers
         if len(answers) > 1:
             yield Violation("final answer", answers[1].at, f"{name}: {len(answers)} answers")
@@ -124,17 +128,19 @@
     # Repeats and refusals of jobs that may have run.
 
     def _check_effects(self, request: Request, attempts: list[Attempt]) -> Iterator[Violation]:
-        ran = [a for a in attempts if a.may_have_run]
+        """Report repeats that the job's class doesn't allow, and refusals of a job that may have run."""
+        possible_runs = [a for a in attempts if a.may_have_run]
         window = REPEAT_WINDOW_S[Effect(request.effect)]
-        later = [a for a in attempts if ran and a.last_byte > ran[0].last_byte]
-        for again in later:
-            after = again.last_byte - ran[0].last_byte
-            if not window or after > window + self._stalled_for(ran[0].last_byte, again.last_byte):
-                yield Violation("repeat", again.last_byte, (
-                    f"{request.identity}, {request.effect}: sent to {again.worker} {after:.3f} s after "
-                    f"it may have run at {ran[0].worker}"))
+        repeats = [a for a in attempts if possible_runs and a.last_byte > possible_runs[0].last_byte]
+        for repeat in repeats:
+            after = repeat.last_byte - possible_runs[0].last_byte
+            if not window or after > window + self._stalled_for(
+                    possible_runs[0].last_byte, repeat.last_byte):
+                yield Violation("repeat", repeat.last_byte, (
+                    f"{request.identity}, {request.effect}: sent to {repeat.worker} {after:.3f} s after "
+                    f"it may have run at {possible_runs[0].worker}"))
         for answer in request.answers[:1]:
-            before = [a for a in ran if a.last_byte < answer.at]
+            before = [a for a in possible_runs if a.last_byte < answer.at]
             if answer.status in REFUSAL_STATUSES and before:
                 yield Violation("refused", answer.at, (
                     f"{request.identity}: refused though it may have run at {before[0].worker}"))
@@ -153,6 +159,7 @@
     # Clients.
 
     def _check_client_left(self, request: Request, attempts: list[Attempt]) -> Iterator[Violation]:
+        """Report each attempt that begins too long after the client disconnected."""
         for attempt in attempts:
             if request.left is None:
                 return
@@ -162,6 +169,7 @@
                     f"{request.identity}: sent to {attempt.worker} {late:.3f} s after its client had left"))
 
     def _check_time_left(self, request: Request, attempts: list[Attempt]) -> Iterator[Violation]:
+        """Report each attempt whose stated time left is longer than the client's deadline allows."""
         for attempt in attempts:
             if request.last_byte is None:
                 return
--- a/hazellead/lab/soak/runner.py
+++ b/hazellead/lab/soak/runner.py
@@ -73,7 +73,7 @@
         self._faults_began_at = 0.0
 
     def _scheduler_port(self, identity: str) -> int:
-        """Return the port of the scheduler that a request was sent to, by the request's identity."""
+        """Return the port of the scheduler that a request was sent to; its identity begins with the name."""
         port: int = self._by_name[identity.partition("-")[0]].port
         return port
 
