--- a/tests/test_capacity_hollow.py
+++ b/tests/test_capacity_hollow.py
@@ -61,10 +61,10 @@
         world.start()
         zone = [m for m in world.models.values() if m.spec.zone == 1]
         for m in zone:
-            world.at(4, m.vanish)
-            world.at(8, m.come_back)
-        world.at(6, world.part, (0, 1, 2))
-        world.at(9, world.join)
+            world.at(4, m.disconnect)
+            world.at(8, m.reconnect)
+        world.at(6, world.partition, (0, 1, 2))
+        world.at(9, world.heal)
         world.at(11, world.restart_instance, 0, 0.5)
         world.at(12, world.replace_worker, 5)
         world.time.run_us(60 * US)
@@ -86,12 +86,12 @@
     world.time.run_us(int(1.5 * US))
     out = [t for t in world.tasks if t.began_us >= 0 and not t.end]
     assert out
-    world.part((0,))
+    world.partition((0,))
     world.time.run_us(10 * US)
     far = {m.spec.name for m in world.models.values() if m.spec.zone == 1}
     waiting = [t for t in out if not t.end]
     assert waiting and {world.checker._jobs[f"{t.identity}.{t.tries}"].worker for t in waiting} <= far
-    world.join()
+    world.heal()
     world.time.run_us(US // 2)
     assert all(t.end == "served" for t in out)
 
@@ -183,7 +183,7 @@
     talk.warm()
     talk.join()
     assert talk.agree(10) < 5
-    talk.mesh.part(["n0", "n1", "n2"])
+    talk.mesh.partition(["n0", "n1", "n2"])
     talk.window(20)
     assert {talk.mesh.peers["n0"].node.swim.size, talk.mesh.peers["n5"].node.swim.size} == {3}
     assert len(talk.mesh.deaths) == 18
