--- a/hazellead/console/__init__.py
+++ b/hazellead/console/__init__.py
@@ -1,1 +1,1 @@
-"""The operators' address: figures, health and calls to empty a scheduler and to bring it back."""
+"""The operators' HTTP interface: statistics, health, and calls to quiesce and resume a scheduler."""
--- a/hazellead/core/__init__.py
+++ b/hazellead/core/__init__.py
@@ -1,1 +1,1 @@
-"""Requests, attempts and outcomes: carries out the module's decisions and knows no wire."""
+"""Requests, attempts and outcomes: carries out the dispatcher's decisions, independent of any protocol."""
--- a/hazellead/decide/__init__.py
+++ b/hazellead/decide/__init__.py
@@ -1,1 +1,1 @@
-"""The decisions, what they remember, and the events and actions they deal in. No I/O, no clock."""
+"""The dispatcher's decisions, its state, and the events and actions of its interface. No I/O, no clock."""
--- a/hazellead/gearman/__init__.py
+++ b/hazellead/gearman/__init__.py
@@ -1,1 +1,1 @@
-"""The front for Gearman speakers: a translator from old clients and workers to the same core."""
+"""The front end for the Gearman protocol: connects Gearman clients and workers to the same core."""
--- a/hazellead/lifecycle/__init__.py
+++ b/hazellead/lifecycle/__init__.py
@@ -1,1 +1,1 @@
-"""A scheduler's life from its start to its end, and the passing of its work from one process to the next."""
+"""Start and shutdown of a scheduler process, and the hand-over of its work to the next process."""
--- a/hazellead/net/__init__.py
+++ b/hazellead/net/__init__.py
@@ -1,1 +1,1 @@
-"""Byte streams and HTTP/1.1, for whatever stands on them."""
+"""Byte streams and HTTP/1.1 servers and clients, shared by all protocols."""
--- a/hazellead/platform/__init__.py
+++ b/hazellead/platform/__init__.py
@@ -1,1 +1,1 @@
-"""The thin front for the platform's own protocol: clients, workers and discovery."""
+"""The front end for the platform's HTTP protocol: clients, workers and discovery."""
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,11 +1,11 @@
-"""The on-call page and the code name the same log events."""
+"""The on-call page lists the log events of the code, and packages import only from inner layers."""
 
 import re
 
 from loopback import ROOT
 
 
-def test_every_log_event_is_explained_and_none_is_made_up() -> None:
+def test_the_on_call_page_lists_exactly_the_log_events_of_the_code() -> None:
     code = "\n".join(path.read_text() for path in (ROOT / "hazellead").rglob("*.py"))
     written = set(re.findall(r'log\.(?:info|warning|error|exception)\(\s*"(\w+)"', code)) | {"library"}
     page = (ROOT / "docs/ON-CALL.md").read_text()
@@ -13,10 +13,12 @@
 
 
 def test_dependencies_point_inward() -> None:
-    fronts = "platform|gearman|peers|snapshots|lab"
-    inner = {"decide": f"core|net|learning|{fronts}", "core": f"net|learning|{fronts}", "net": fronts,
-             "learning": f"net|{fronts}", "platform": "gearman|peers|snapshots|lab|learning",
-             "gearman": "peers|snapshots|lab|learning", "peers": "gearman|lab", "snapshots": "peers|lab|net"}
-    for part, outer in inner.items():
-        for path in (ROOT / "hazellead" / part).glob("*.py"):
-            assert not re.search(rf"(?:from|import) hazellead\.(?:{outer})\b", path.read_text()), path
+    outer_packages = "platform|gearman|peers|snapshots|lab"
+    forbidden_imports = {
+        "decide": f"core|net|learning|{outer_packages}",
+        "core": f"net|learning|{outer_packages}", "net": outer_packages,
+        "learning": f"net|{outer_packages}", "platform": "gearman|peers|snapshots|lab|learning",
+        "gearman": "peers|snapshots|lab|learning", "peers": "gearman|lab", "snapshots": "peers|lab|net"}
+    for package, forbidden in forbidden_imports.items():
+        for path in (ROOT / "hazellead" / package).glob("*.py"):
+            assert not re.search(rf"(?:from|import) hazellead\.(?:{forbidden})\b", path.read_text()), path
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's embedding example does what the README says."""
+"""The README's embedding example runs and prints the expected output."""
 
 import re
 from pathlib import Path
