--- a/hazellead/lab/learners.py
+++ b/hazellead/lab/learners.py
@@ -41,7 +41,7 @@
         self.mesh = Mesh(world.time, world.plan.seed, node, self._learning, network)
         self._start_timeout_us, self._interval_us = start_timeout_us, interval_us
         self.memberships: dict[int, _Membership] = {}
-        self.waited_us: list[int] = []  # wait for answers of each start
+        self.waited_us: list[int] = []  # for each start, the time until it had its answers
         for instance in world.instances:
             instance.on_start.append(self._on_start)
 
--- a/hazellead/lab/measure_learning.py
+++ b/hazellead/lab/measure_learning.py
@@ -183,9 +183,10 @@
     def publish_some(count_each: int) -> None:
         now = mesh.time.now_us()
         for peer in mesh.peers.values():
-            drafts = [Draft(Topic.PACE, f"w-{mesh.rng.randrange(1000)}", 0, 0.5 + mesh.rng.random(),
-                            1 + 40 * mesh.rng.random(), now) for _ in range(count_each)]
-            peer.node.tell(now, drafts)
+            observations = [
+                Draft(Topic.PACE, f"w-{mesh.rng.randrange(1000)}", 0, 0.5 + mesh.rng.random(),
+                      1 + 40 * mesh.rng.random(), now) for _ in range(count_each)]
+            peer.node.tell(now, observations)
 
     # Continuous load: each instance publishes new estimates of three workers twice a second.
     for _ in range(20):
@@ -304,17 +305,17 @@
             with_liar = reader.estimate(Topic.PACE, spec.name, 0, now, 1.0, 16.0).value
             liar = next(o for o, _ in knowledge.about((Topic.PACE, spec.name)) if o.name == "n4")
             removed = knowledge._by_key[int(Topic.PACE), spec.name].pop(liar)
-            honest = reader.estimate(Topic.PACE, spec.name, 0, now, 1.0, 16.0).value
+            without_liar = reader.estimate(Topic.PACE, spec.name, 0, now, 1.0, 16.0).value
             knowledge._by_key[int(Topic.PACE), spec.name][liar] = removed
-            max_shift[0] = max(max_shift[0], with_liar / honest, honest / with_liar)
+            max_shift[0] = max(max_shift[0], with_liar / without_liar, without_liar / with_liar)
         assert settings.clamp > 1
 
     if lies:
         for second in (10, 15, 19, 30):
             world.at(second, measure_influence)
     violations = world.run()
-    honest = [p for i in world.instances[:4] for p in i.tally.arrivals if 10 * US <= p[0] < 36 * US]
-    return len(violations), sum(hit for _, hit in honest) / len(honest), max_shift[0]
+    arrivals = [p for i in world.instances[:4] for p in i.tally.arrivals if 10 * US <= p[0] < 36 * US]
+    return len(violations), sum(in_time for _, in_time in arrivals) / len(arrivals), max_shift[0]
 
 
 def measure_liar(report: Report) -> None:
--- a/tests/test_lab.py
+++ b/tests/test_lab.py
@@ -168,7 +168,7 @@
 
     first = run_world()
     assert first[0] == [] and first[1] > 500 and first == run_world()
-    assert sum(hit for _, hit in first[3]) > 0.4 * len(first[3])
+    assert sum(in_time for _, in_time in first[3]) > 0.4 * len(first[3])
 
 
 def test_a_world_detects_a_scheduler_that_sends_to_drained_workers(
