--- a/hazellead/lab/checker.py
+++ b/hazellead/lab/checker.py
@@ -2,7 +2,7 @@
 
 1. Each accepted job gets exactly one complete final answer, before its deadline; a served result comes from
    a worker.
-2. A job that must not run twice starts at most once; it is not refused once it may have run; it has at most
+2. A single-shot job starts at most once, and is not refused once it may have run; any job has at most
    three attempts, one at a time.
 3. No attempt is sent to a worker later than 400 ms after its drain was announced or it left the list.
 4. No cold worker crashes from overload.
