--- a/tests/test_capacity_hollow.py
+++ b/tests/test_capacity_hollow.py
@@ -46,7 +46,7 @@
 
 def test_an_installation_answers_each_task_once_by_the_rules_and_is_the_same_again() -> None:
     world = play(SMALL)
-    assert world.checker.close(world.time.now_us()) == []
+    assert world.checker.finish(world.time.now_us()) == []
     assert len(world.tasks) > 100 and all(t.end for t in world.tasks)
     assert world.checker.answers["served"] > 0.9 * len(world.tasks)
     assert told(world) == told(play(SMALL))
@@ -61,17 +61,17 @@
         world.start()
         zone = [m for m in world.models.values() if m.spec.zone == 1]
         for m in zone:
-            world.at(4, m.vanish)
-            world.at(8, m.come_back)
-        world.at(6, world.part, (0, 1, 2))
-        world.at(9, world.join)
+            world.at(4, m.disconnect)
+            world.at(8, m.reconnect)
+        world.at(6, world.partition, (0, 1, 2))
+        world.at(9, world.heal)
         world.at(11, world.restart_instance, 0, 0.5)
         world.at(12, world.replace_worker, 5)
         world.time.run_us(60 * US)
         return world
 
     world = troubled()
-    assert world.checker.close(world.time.now_us()) == []
+    assert world.checker.finish(world.time.now_us()) == []
     assert world.checker.answers["served"] > 100
     assert any(t.slots == 4 and t.end == "served" for t in world.tasks)
     assert not any(t.slots == 8 and t.began_us >= 0 for t in world.tasks)  # wider than every worker
@@ -86,12 +86,12 @@
     world.time.run_us(int(1.5 * US))
     out = [t for t in world.tasks if t.began_us >= 0 and not t.end]
     assert out
-    world.part((0,))
+    world.partition((0,))
     world.time.run_us(10 * US)
     far = {m.spec.name for m in world.models.values() if m.spec.zone == 1}
     waiting = [t for t in out if not t.end]
-    assert waiting and {world.checker._books[f"{t.identity}.{t.tries}"].worker for t in waiting} <= far
-    world.join()
+    assert waiting and {world.checker._jobs[f"{t.identity}.{t.tries}"].worker for t in waiting} <= far
+    world.heal()
     world.time.run_us(US // 2)
     assert all(t.end == "served" for t in out)
 
@@ -183,7 +183,7 @@
     talk.warm()
     talk.join()
     assert talk.agree(10) < 5
-    talk.mesh.part(["n0", "n1", "n2"])
+    talk.mesh.partition(["n0", "n1", "n2"])
     talk.window(20)
     assert {talk.mesh.peers["n0"].node.swim.size, talk.mesh.peers["n5"].node.swim.size} == {3}
     assert len(talk.mesh.deaths) == 18
@@ -253,5 +253,5 @@
     heard = sum(site.meter.counts.get("JobBegan", 0) for site in world.sites)
     assert 2 * running < heard < 6 * running + 10
     world.time.run_us(30 * US)
-    assert world.checker.close(world.time.now_us()) == [] and not any(
+    assert world.checker.finish(world.time.now_us()) == [] and not any(
         s.scheduler.unanswered for s in world.sites)
--- a/tests/test_peers.py
+++ b/tests/test_peers.py
@@ -78,7 +78,7 @@
 
 def test_the_sides_of_a_healed_partition_rejoin_and_share_their_facts() -> None:
     m = mesh(10)
-    m.part([f"n{i}" for i in range(5)])
+    m.partition([f"n{i}" for i in range(5)])
     m.time.run_us(20 * S)
     assert sorted(len(v) for v in views(m)) == [5, 5]
     publish(m.peers["n0"], m, "w-1")
@@ -118,7 +118,7 @@
 
 def test_a_member_that_was_paused_does_not_declare_the_others_dead() -> None:
     m = mesh(8)
-    m.peers["n1"].slow_us = m.time.now_us() + 6 * S
+    m.peers["n1"].paused_until_us = m.time.now_us() + 6 * S
     m.time.run_us(30 * S)
     assert not [d for d in m.deaths if d[1] == "n1"] and len(views(m)) == 1
 
@@ -137,7 +137,7 @@
     for i in range(5):
         publish(m.peers[f"n{i}"], m, f"w-{i}")
     m.time.run_us(3 * S)
-    new = m.add("late", ["n0", "n1", "n2", "n3"], clock_us=-7200 * S)
+    new = m.add("late", ["n0", "n1", "n2", "n3"], clock_offset_us=-7200 * S)
     m.time.run_us(200_000)
     assert len(new.node.answered) == 3 and new.node.knowledge.count == 5
     now = m._now(new)
