--- a/hazellead/lab/capacity/alone.py
+++ b/hazellead/lab/capacity/alone.py
@@ -24,10 +24,10 @@
 from hazellead.lab.capacity.virtual_world import (
     NORMAL,
     URGENT,
-    Metered,
+    MeteredDispatcher,
     Shape,
     fleet_of,
-    metered,
+    install_meter,
     settings_of,
     shares,
 )
@@ -118,7 +118,7 @@
         self.scheduler = Scheduler(settings_of(shape, self._fleet, number), self._rng.getrandbits(48),
                                    shape.limits, self.time, self.time,  # type: ignore[arg-type]
                                    names=names_of(shape))
-        self.meter = metered(self.scheduler, self._rng.getrandbits(48))
+        self.meter = install_meter(self.scheduler, self._rng.getrandbits(48))
         self.scheduler.connect(self, self)
         self.ends: dict[str, int] = {}
         self.arrivals = 0
@@ -199,7 +199,7 @@
             return
         rng, shape = self._rng, self.shape
         self.arrivals += 1
-        slots = rng.choice(shape.gangs.widths) if rng.random() < shape.gangs.part else 1
+        slots = rng.choice(shape.gangs.widths) if rng.random() < shape.gangs.share else 1
         job = Job(f"a{self.number}-{self.arrivals}", repr(shape.work.draw(rng)), b"",
                   URGENT if rng.random() < shape.urgent else NORMAL,
                   rng.choices(range(shape.tenants), self._weights)[0], span(shape.deadline_us), float(slots))
@@ -300,7 +300,7 @@
 
 
 def _foreign(module: str) -> bool:
-    ours = module.startswith(("hazellead.core", "hazellead.decide")) or module == Metered.__module__
+    ours = module.startswith(("hazellead.core", "hazellead.decide")) or module == MeteredDispatcher.__module__
     return not ours and module.startswith(("hazellead", "tornado", "structlog"))
 
 
--- a/hazellead/lab/capacity/hollow_scope.py
+++ b/hazellead/lab/capacity/hollow_scope.py
@@ -1,4 +1,4 @@
-"""How large a hollow measurement is, and with which seeds."""
+"""Sizes and seeds of a hollow measurement."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, replace
@@ -6,18 +6,18 @@
 from hazellead.lab.capacity.virtual_world import Shape
 from hazellead.lab.fleet import US, Work
 
-Say = Callable[[str], None]
+ProgressCallback = Callable[[str], None]
 
 @dataclass(slots=True, frozen=True)
 class Scope:
-    """How large a measurement is."""
+    """The sizes, the seed and the progress callback of a measurement."""
 
     small: bool
     seed: int
-    say: Say
+    say: ProgressCallback
 
     def shape(self, seed: int = 0, **more: object) -> Shape:
-        """Return the target's shape, or a small one of the same kind, with other values where given."""
+        """Return the target's shape, or a small version of it; keyword arguments override its fields."""
         base = Shape(seed or self.seed)
         if self.small:
             base = replace(base, workers=20, slots=4, queue=8, schedulers=3, tenants=7, starts=12.0,
@@ -26,5 +26,5 @@
 
     @property
     def seeds(self) -> list[int]:
-        """Return the seeds of repeats."""
+        """Return the seeds of a run's repetitions."""
         return [self.seed, self.seed + 1, self.seed + 2]
--- a/hazellead/lab/capacity/hollow_sweeps.py
+++ b/hazellead/lab/capacity/hollow_sweeps.py
@@ -1,4 +1,4 @@
-"""Sweeps in virtual time: one scheduler, or members that talk, along one axis with all else held."""
+"""Sweeps in virtual time: one scheduler, or a group of peers, along one axis, all other sizes constant."""
 
 from collections.abc import Mapping, Sequence
 from dataclasses import replace
@@ -10,50 +10,51 @@
 from hazellead.lab.capacity.virtual_world import Gangs, Shape
 from hazellead.lab.fleet import US
 
-Row = dict[str, tuple[float, str]]  # quantities with their units
+Quantities = dict[str, tuple[float, str]]  # values and units by name
 
 # Sweeps.
 
 
-def _note(
-    result: Result, role: str, axis: str, found: Mapping[float, Sequence[Mapping[str, tuple[float, str]]]],
-    held: Mapping[str, float],
+def _add_sweeps(
+    result: Result, role: str, axis: str,
+    rows_by_size: Mapping[float, Sequence[Mapping[str, tuple[float, str]]]], constants: Mapping[str, float],
 ) -> None:
-    """Add one sweep for each quantity that the plays gave."""
-    rows = next(iter(found.values()))
+    """Add one sweep for each quantity; ``rows_by_size`` has one row per repetition at each size."""
+    rows = next(iter(rows_by_size.values()))
     for quantity, (_, unit) in rows[0].items():
         result.sweep(role, quantity, unit, axis, "hollow",
-                     {size: [row[quantity][0] for row in plays] for size, plays in found.items()}, **held)
+                     {size: [row[quantity][0] for row in repeats] for size, repeats in rows_by_size.items()},
+                     **constants)
 
 
-def _window(alone: Alone, seconds: float) -> dict[str, tuple[float, str]]:
-    c = alone.window(seconds)
+def _measure_window(alone: Alone, seconds: float) -> dict[str, tuple[float, str]]:
+    cost = alone.window(seconds)
     return {
-        "decisions_cpu": (c.decisions_ns / 1000 / seconds, "us/s"),
-        "decisions_cpu_arrival": (c.decisions_ns / 1000 / max(1, c.arrivals), "us/arrival"),
-        "core_cpu": (c.whole_ns / 1000 / seconds, "us/s"),  # decisions, core and stand-ins
-        "events": (c.events / seconds, "1/s"), "actions": (c.actions / seconds, "1/s"),
-        "steps": (c.steps / seconds, "1/s"), "timers": (c.counts.get("SetTimer", 0) / seconds, "1/s"),
-        "looks": (c.looks / max(1, c.arrivals), "1/arrival")}
+        "decisions_cpu": (cost.decisions_ns / 1000 / seconds, "us/s"),
+        "decisions_cpu_arrival": (cost.decisions_ns / 1000 / max(1, cost.arrivals), "us/arrival"),
+        "core_cpu": (cost.whole_ns / 1000 / seconds, "us/s"),  # decisions, core and simulated workers
+        "events": (cost.events / seconds, "1/s"), "actions": (cost.actions / seconds, "1/s"),
+        "steps": (cost.steps / seconds, "1/s"), "timers": (cost.counts.get("SetTimer", 0) / seconds, "1/s"),
+        "looks": (cost.looks / max(1, cost.arrivals), "1/arrival")}
 
 
-def _sizes(shape: Shape, leave: str) -> dict[str, float]:
-    keep = {"workers": float(shape.workers), "running": shape.starts * shape.work.mean_s * shape.gangs.mean,
+def _constant_sizes(shape: Shape, axis: str) -> dict[str, float]:
+    sizes = {"workers": float(shape.workers), "running": shape.starts * shape.work.mean_s * shape.gangs.mean,
             "starts": shape.starts, "tenants": float(shape.tenants), "schedulers": float(shape.schedulers)}
-    return {k: v for k, v in keep.items() if k != leave}
+    return {k: v for k, v in sizes.items() if k != axis}
 
 
-def _along(scope: Scope, axis: str, size: float, base: Shape) -> Shape:
-    """Return the shape of one size along an axis; all else, and quotas over what is asked, as in ``base``.
+def _shape_along(scope: Scope, axis: str, size: float, base: Shape) -> Shape:
+    """Return ``base`` with one axis at a size and the quotas scaled with demand.
 
-    Without that a sweep of starts or of gangs would be one of refusals.
+    Without scaled quotas, a sweep of starts or of gangs would measure refusals.
     """
-    shape = _at(axis, size, base)
-    over = base.capacity / base.starts
-    return replace(shape, quota=over * shape.starts * shape.gangs.mean)
+    shape = _with_size(axis, size, base)
+    quota_ratio = base.capacity / base.starts
+    return replace(shape, quota=quota_ratio * shape.starts * shape.gangs.mean)
 
 
-def _at(axis: str, size: float, base: Shape) -> Shape:
+def _with_size(axis: str, size: float, base: Shape) -> Shape:
     running = base.starts * base.work.mean_s
     if axis == "running":
         return replace(base, work=replace(base.work, mean_s=size / base.starts))
@@ -74,51 +75,52 @@
 
 
 def costs(result: Result, scope: Scope) -> None:
-    """One scheduler's work along each axis, with reports of running tasks once a second."""
+    """Measure one scheduler's work along each axis, with a report of each running task once a second."""
     seconds = 6.0 if not scope.small else 4.0
     for axis, sizes in _axes(scope).items():
-        found: dict[float, list[Row]] = {}
+        rows_by_size: dict[float, list[Quantities]] = {}
         for size in sizes:
             for seed in scope.seeds[:2]:
-                alone = Alone(_along(scope, axis, size, scope.shape(seed)))
+                alone = Alone(_shape_along(scope, axis, size, scope.shape(seed)))
                 alone.ramp()
-                found.setdefault(size, []).append(_window(alone, seconds))
-        _note(result, "scheduler", axis, found, _sizes(scope.shape(), axis))
+                rows_by_size.setdefault(size, []).append(_measure_window(alone, seconds))
+        _add_sweeps(result, "scheduler", axis, rows_by_size, _constant_sizes(scope.shape(), axis))
 
 
 def changes(result: Result, scope: Scope) -> None:
-    """One scheduler's work by changes a minute: of the list of workers, and of its settings."""
+    """Measure one scheduler's work by changes per minute of the worker list, and of its settings."""
     seconds = 8.0 if not scope.small else 4.0
     for role, sizes in (("discovery", (0, 20, 120, 600, 2400)), ("configuration", (0, 20, 60, 120, 240))):
-        found: dict[float, list[Row]] = {}
+        rows_by_size: dict[float, list[Quantities]] = {}
         for size in sizes:
             for seed in scope.seeds[:2]:
                 alone = Alone(scope.shape(seed))
                 alone.ramp()
                 (alone.change_lists if role == "discovery" else alone.change_settings)(size)
-                found.setdefault(size, []).append(_window(alone, seconds))
-        _note(result, role, "changes", found, _sizes(scope.shape(), ""))
+                rows_by_size.setdefault(size, []).append(_measure_window(alone, seconds))
+        _add_sweeps(result, role, "changes", rows_by_size, _constant_sizes(scope.shape(), ""))
 
 
 def memory(result: Result, scope: Scope) -> None:
-    """One scheduler's state in bytes: with no task, with all that run, and after all have ended.
+    """Measure one scheduler's memory: without tasks, with a steady number running, and after all have ended.
 
-    Counted from the scheduler on by the sizes of objects; at the target checked by tracing.
+    It is the sum of the sizes of all objects reachable from the scheduler; at the target, it is checked with
+    tracemalloc.
     """
     for axis in ("workers", "running", "tenants"):
-        found: dict[float, list[Row]] = {}
+        rows_by_size: dict[float, list[Quantities]] = {}
         for size in _axes(scope)[axis]:
             for seed in scope.seeds[:2]:
-                alone = Alone(_along(scope, axis, size, scope.shape(seed)))
+                alone = Alone(_shape_along(scope, axis, size, scope.shape(seed)))
                 alone.time.run_us(US)
                 idle = reached(alone.scheduler)
                 alone.ramp()
                 full = reached(alone.scheduler)
                 alone.empty()
-                found.setdefault(size, []).append({
+                rows_by_size.setdefault(size, []).append({
                     "memory_idle": (idle, "bytes"), "memory": (full, "bytes"),
                     "memory_left": (reached(alone.scheduler), "bytes")})
-        _note(result, "scheduler", axis, found, _sizes(scope.shape(), axis))
+        _add_sweeps(result, "scheduler", axis, rows_by_size, _constant_sizes(scope.shape(), axis))
     shape = scope.shape()
     figures = {f"{name}_{stage}": Figure(value, "bytes") for name, stages in traced(shape).items()
                for stage, value in zip(("idle", "full", "left"), stages, strict=True)}
@@ -126,49 +128,49 @@
 
 
 def members(result: Result, scope: Scope) -> None:
-    """What members send and hold, by how many there are and by workers known; and digests by origins."""
-    task_s, warm_s, settle, seconds = (5.0, 10.0, 1.0, 3.0) if scope.small else (20.0, 120.0, 5.0, 6.0)
+    """Measure what peers send and store, by number of schedulers and of workers; and digests by origins."""
+    task_s, warm_s, settle_s, seconds = (5.0, 10.0, 1.0, 3.0) if scope.small else (20.0, 120.0, 5.0, 6.0)
     axes: dict[str, tuple[int, ...]] = {"schedulers": (3, 6, 9, 18), "workers": (60, 250, 490, 1000)}
     if scope.small:
         axes = {"schedulers": (2, 3, 4, 6), "workers": (10, 20, 40, 80)}
     for axis, sizes in axes.items():
-        found: dict[float, list[Row]] = {}
-        held = _sizes(scope.shape(schedulers=2) if axis == "workers" else scope.shape(), axis)
+        rows_by_size: dict[float, list[Quantities]] = {}
+        constants = _constant_sizes(scope.shape(schedulers=2) if axis == "workers" else scope.shape(), axis)
         for size in sizes:
             for seed in scope.seeds[:2]:
                 base = scope.shape(seed) if axis == "schedulers" else scope.shape(seed, schedulers=2)
-                talk = Members(short_tasks(_along(scope, axis, size, base), task_s))
-                talk.warm(warm_s)
-                talk.join()
-                talk.window(settle)
-                talk.told_ns = 0
-                t = talk.window(seconds)
-                row = {"bytes_out": (t.bytes_out, "B/s"), "messages_out": (t.messages_out, "1/s"),
-                       "facts": (talk.facts(), "facts"), "digest": (talk.digest_bytes(), "bytes"),
-                       "snapshot": (talk.snapshot_bytes(), "bytes"),
-                       "telling_cpu": (talk.told_ns / 1000 / seconds / len(talk.peers), "us/s")}
-                row |= {f"bytes_out_{kind.lower()}": (t.by_kind.get(kind, 0.0), "B/s")
+                group = Members(short_tasks(_shape_along(scope, axis, size, base), task_s))
+                group.warm(warm_s)
+                group.join()
+                group.window(settle_s)
+                group.told_ns = 0
+                traffic = group.window(seconds)
+                row = {"bytes_out": (traffic.bytes_out, "B/s"), "messages_out": (traffic.messages_out, "1/s"),
+                       "facts": (group.facts(), "facts"), "digest": (group.digest_bytes(), "bytes"),
+                       "snapshot": (group.snapshot_bytes(), "bytes"),
+                       "telling_cpu": (group.told_ns / 1000 / seconds / len(group.peers), "us/s")}
+                row |= {f"bytes_out_{kind.lower()}": (traffic.by_kind.get(kind, 0.0), "B/s")
                         for kind in ("Delta", "Digest", "Ping", "Ack", "Sync")}
-                found.setdefault(size, []).append(row)
-        _note(result, "member", axis, found, held | {"task_s": task_s})
+                rows_by_size.setdefault(size, []).append(row)
+        _add_sweeps(result, "member", axis, rows_by_size, constants | {"task_s": task_s})
     origins = {float(n): [float(digest_of(n))] for n in (3, 9, 18, 50, 100, 200)}
     result.sweep("member", "digest", "bytes", "origins", "hollow", origins)
 
 
 def learning(result: Result, scope: Scope) -> None:
-    """What taking over others' facts costs a scheduler, by workers known, with three members."""
+    """Measure a scheduler's processor time for adopting peers' facts, by workers, with three schedulers."""
     task_s, seconds = (5.0, 2.0) if scope.small else (20.0, 2.0)
-    found: dict[float, list[Row]] = {}
+    rows_by_size: dict[float, list[Quantities]] = {}
     for size in (10, 20, 40, 80) if scope.small else (60, 250, 490, 1000):
         for seed in scope.seeds[:2]:
-            talk = Members(short_tasks(scope.shape(seed, schedulers=3, workers=size), task_s))
-            talk.warm()
-            talk.join(learn=True)
-            talk.window(1.0)
-            talk.taught_ns = talk.taught = 0
-            talk.window(seconds)
-            found.setdefault(size, []).append({
-                "learning_cpu": (talk.taught_ns / 1000 / seconds / 3, "us/s"),
-                "takings": (talk.taught / seconds / 3, "1/s")})
-    held = _sizes(scope.shape(schedulers=3), "workers") | {"task_s": task_s}
-    _note(result, "member", "workers", found, held)
+            group = Members(short_tasks(scope.shape(seed, schedulers=3, workers=size), task_s))
+            group.warm()
+            group.join(learn=True)
+            group.window(1.0)
+            group.taught_ns = group.taught = 0
+            group.window(seconds)
+            rows_by_size.setdefault(size, []).append({
+                "learning_cpu": (group.taught_ns / 1000 / seconds / 3, "us/s"),
+                "takings": (group.taught / seconds / 3, "1/s")})
+    constants = _constant_sizes(scope.shape(schedulers=3), "workers") | {"task_s": task_s}
+    _add_sweeps(result, "member", "workers", rows_by_size, constants)
--- a/hazellead/lab/capacity/hollow_workers.py
+++ b/hazellead/lab/capacity/hollow_workers.py
@@ -1,7 +1,7 @@
-"""Hollow workers: some hundred in one process, in the platform's protocol, whose work is a timer.
+"""Hollow workers: hundreds in one process that speak the platform's protocol and simulate work with a timer.
 
-Each has an address of its own on loopback, listens there on a port for each scheduler, and calls back from
-it. What it does with a job is ``lab.worker.WorkerModel``'s.
+Each worker has its own loopback address, listens there on one port per scheduler, and sends its call-backs
+from that address. ``lab.worker.WorkerModel`` decides what a worker does with a job.
 """
 
 import asyncio
@@ -10,55 +10,63 @@
 from random import Random
 from typing import Any
 
-from hazellead.lab.capacity.hollow_counts import Asker, Counts, Door, Speaker, obey, open_to
+from hazellead.lab.capacity.hollow_counts import (
+    ClientConnection,
+    Counts,
+    HttpConnection,
+    Listener,
+    open_connection,
+    serve_commands,
+)
 from hazellead.lab.fleet import WorkerSpec
 from hazellead.lab.sockets import TRIES, HttpTicket, LoopTime
 from hazellead.lab.worker import WorkerModel
 from hazellead.net import http
 
-ANSWER_S = 2.0  # for a call-back to be answered
-KEPT_S = 15.0  # that a connection for call-backs may rest, as the settings have it for the other way
+CALL_BACK_TIMEOUT_S = 2.0
+MAX_IDLE_S = 15.0  # of a call-back connection; equal to connIdleUs, the schedulers' limit for theirs
 NEVER_US = 1 << 60
-SLICES = 10  # of the running jobs, one after another within a second, where progress is told
+PROGRESS_SLICES = 10  # each second of progress reports is spread over this many groups of running jobs
 
 
-class _Taking(Speaker):
+class _SchedulerConnection(HttpConnection):
     """A scheduler's connection to a worker."""
 
-    def __init__(self, at: "Entrance") -> None:
+    def __init__(self, endpoint: "WorkerEndpoint") -> None:
         super().__init__(responses=False)
-        self._at = at
+        self._endpoint = endpoint
 
-    def took(self, message: http.Message, size: int) -> None:
-        """Answer one request."""
-        at, (method, target, _) = self._at, message.first
+    def message_received(self, message: http.Message, size: int) -> None:
+        """Respond to one request."""
+        endpoint, (method, target, _) = self._endpoint, message.first
         kind = {"POST": "push", "DELETE": "delete"}.get(method, "probe")
-        at.counts.note(at.scheduler, kind, inward=False, size=size, body=len(message.body))
-        status, headers = at.handle(method, target, message)
+        endpoint.counts.note(endpoint.scheduler, kind, inward=False, size=size, body=len(message.body))
+        status, headers = endpoint.handle(method, target, message)
         data = http.response(status, b"", headers=headers)
-        at.counts.note(at.scheduler, kind, inward=True, size=len(data))
+        endpoint.counts.note(endpoint.scheduler, kind, inward=True, size=len(data))
         self.transport.write(data)
 
     def connection_lost(self, reason: Exception | None) -> None:
-        """Leave."""
-        self._at.door.forget(self.transport)
+        """Remove the connection from the listener."""
+        self._endpoint.listener.forget(self.transport)
 
 
-class Entrance:
-    """Where one scheduler reaches a worker, and the call-backs to it."""
+class WorkerEndpoint:
+    """The port on which a worker accepts one scheduler's requests, and the call-backs to that scheduler."""
 
     def __init__(
-        self, worker: WorkerModel, address: str, scheduler: str, back: tuple[str, int], counts: Counts,
+        self, worker: WorkerModel, address: str, scheduler: str, call_back_address: tuple[str, int],
+        counts: Counts,
     ) -> None:
         """Listen on a free port of the worker's address."""
         self.worker, self.scheduler, self.counts = worker, scheduler, counts
-        self._address, self._back = address, back
-        self.door = Door(address, lambda: _Taking(self))
-        self.idle: list[Asker] = []
+        self._address, self._call_back_address = address, call_back_address
+        self.listener = Listener(address, lambda: _SchedulerConnection(self))
+        self.idle_connections: list[ClientConnection] = []
         self._tasks: set[asyncio.Future[None]] = set()
 
     def handle(self, method: str, target: str, message: http.Message) -> tuple[int, dict[str, str]]:
-        """Return the status and the headers that answer a request."""
+        """Handle a request and return the response's status and headers."""
         if method == "GET":
             return (200 if target == "/alive" else 404), {}
         if method == "DELETE":
@@ -71,149 +79,154 @@
         return 503, {"X-Never-Ran": "1"}
 
     def keep(self, task: "asyncio.Future[None]") -> None:
-        """Hold a call-back until it is through."""
+        """Keep a reference to a call-back's task until it is done, so that it is not garbage-collected."""
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def call_back(self, event: dict[str, Any]) -> None:
-        """Make one call, again until it is answered, ten times at most."""
+        """Send one call-back; repeat it until the scheduler answers 200 or 204, at most ``TRIES`` times."""
         state = event["state"]
         body = json.dumps(event, separators=(",", ":")).encode()
         result = len(event.get("result", ""))
-        data = http.request("POST", "/v1/job-events", f"{self._back[0]}:{self._back[1]}", {}, body)
+        data = http.request(
+            "POST", "/v1/job-events", f"{self._call_back_address[0]}:{self._call_back_address[1]}", {}, body)
         for attempt in range(TRIES):
-            line: Asker | None = None
-            if self.door.cut:
-                await asyncio.sleep(ANSWER_S)
+            connection: ClientConnection | None = None
+            if self.listener.cut:
+                await asyncio.sleep(CALL_BACK_TIMEOUT_S)
                 continue
             try:
-                async with asyncio.timeout(ANSWER_S):
-                    line = self._rested() or await open_to(self._back, self._address)
+                async with asyncio.timeout(CALL_BACK_TIMEOUT_S):
+                    connection = self._pop_idle_connection() or await open_connection(
+                        self._call_back_address, self._address)
                     self.counts.note(self.scheduler, state, inward=True, size=len(data), body=result)
-                    message, size = await line.ask(data)
+                    message, size = await connection.send_request(data)
             except (OSError, TimeoutError):
-                if line:
-                    line.transport.abort()
+                if connection:
+                    connection.transport.abort()
                 await asyncio.sleep(0.02 * (attempt + 1))
                 continue
             self.counts.note(self.scheduler, state, inward=False, size=size)
             if message.keep:
-                line.since = asyncio.get_running_loop().time()
-                self.idle.append(line)
+                connection.idle_since = asyncio.get_running_loop().time()
+                self.idle_connections.append(connection)
             else:
-                line.transport.close()
+                connection.transport.close()
             if message.status in (200, 204):
                 return
 
-    def _rested(self) -> Asker | None:
-        while self.idle:
-            line = self.idle.pop()
-            if not line.lost and not line.transport.is_closing():
-                return line
+    def _pop_idle_connection(self) -> ClientConnection | None:
+        while self.idle_connections:
+            connection = self.idle_connections.pop()
+            if not connection.lost and not connection.transport.is_closing():
+                return connection
         return None
 
-    def sweep(self, now: float) -> None:
-        """Close what has rested long."""
-        for line in [x for x in self.idle if x.since < now - KEPT_S or x.lost]:
-            self.idle.remove(line)
-            line.transport.close()
+    def close_idle_connections(self, now: float) -> None:
+        """Close connections that are lost or idle for over ``MAX_IDLE_S``; ``now`` is the loop's time."""
+        for connection in [x for x in self.idle_connections if x.idle_since < now - MAX_IDLE_S or x.lost]:
+            self.idle_connections.remove(connection)
+            connection.transport.close()
 
 
 class Fleet:
-    """The workers of this process."""
+    """All workers of this process; its ``do_`` methods carry out the commands of the parent process."""
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without workers."""
         self.counts, self._time = Counts(), LoopTime()
         self.models: dict[str, WorkerModel] = {}
-        self.entrances: list[Entrance] = []
-        self.started: list[tuple[str, str, int]] = []
+        self.worker_endpoints: list[WorkerEndpoint] = []
+        self.job_starts: list[tuple[str, str, int]] = []
         self._progress: asyncio.Task[None] | None = None
-        self._sweeper = asyncio.ensure_future(self._sweep())
+        self._idle_closer = asyncio.ensure_future(self._close_idle_periodically())
 
-    async def obey(self, command: dict[str, Any]) -> dict[str, Any]:
-        """Carry out one command."""
-        do = command.pop("do")
-        answer: dict[str, Any] = getattr(self, f"do_{do}")(**command)
+    async def handle_command(self, command: dict[str, Any]) -> dict[str, Any]:
+        """Execute one command, named by its ``command`` key, and return the answer."""
+        name = command.pop("command")
+        answer: dict[str, Any] = getattr(self, f"do_{name}")(**command)
         return answer
 
     def do_open(
         self, workers: list[dict[str, Any]], backs: dict[str, list[Any]], seed: int,
     ) -> dict[str, Any]:
-        """Start workers; return where each scheduler reaches each of them."""
+        """Start workers; return each worker's "address:port", by scheduler and worker name.
+
+        ``backs`` gives the host and port of each scheduler, to which call-backs are sent.
+        """
         endpoints: dict[str, dict[str, str]] = {name: {} for name in backs}
         for row in workers:
             spec = WorkerSpec(row["number"], row["name"], row["zone"], 0, row["slots"], 1.0, row["queue"])
             model = WorkerModel(
                 spec, self._time, Random(f"worker {seed} {spec.number}"), noise=0.0, progress_us=NEVER_US,
-                ran=self._ran)
+                ran=self._record_start)
             self.models[spec.name] = model
             for name, (host, port) in backs.items():
-                entrance = Entrance(model, row["address"], name, (host, port), self.counts)
-                self.entrances.append(entrance)
-                endpoints[name][spec.name] = f"{row['address']}:{entrance.door.port}"
+                endpoint = WorkerEndpoint(model, row["address"], name, (host, port), self.counts)
+                self.worker_endpoints.append(endpoint)
+                endpoints[name][spec.name] = f"{row['address']}:{endpoint.listener.port}"
         return endpoints
 
-    def _ran(self, worker: WorkerModel, identity: str) -> None:
-        self.started.append((identity, worker.spec.name, time.monotonic_ns()))
+    def _record_start(self, worker: WorkerModel, identity: str) -> None:
+        self.job_starts.append((identity, worker.spec.name, time.monotonic_ns()))
 
     def do_progress(self, on: bool) -> dict[str, Any]:
-        """Tell the progress of each running job once a second, or no more."""
+        """Switch on or off a progress report for each running job once a second."""
         if self._progress:
             self._progress.cancel()
-        self._progress = asyncio.ensure_future(self._tell()) if on else None
+        self._progress = asyncio.ensure_future(self._report_progress()) if on else None
         return {}
 
-    async def _tell(self) -> None:
+    async def _report_progress(self) -> None:
         loop = asyncio.get_running_loop()
-        due, turn = loop.time(), 0
+        due, slice_number = loop.time(), 0
         while True:
             tickets = [ticket for model in self.models.values() for ticket in model.running]
-            for ticket in tickets[turn % SLICES::SLICES]:
+            for ticket in tickets[slice_number % PROGRESS_SLICES::PROGRESS_SLICES]:
                 ticket.progressed(0.5)
-            due, turn = due + 1 / SLICES, turn + 1
+            due, slice_number = due + 1 / PROGRESS_SLICES, slice_number + 1
             await asyncio.sleep(max(0.0, due - loop.time()))
 
     def do_cut(self, workers: list[str], schedulers: list[str]) -> dict[str, Any]:
-        """Cut these workers off from these schedulers."""
-        for entrance in self.entrances:
-            if entrance.worker.spec.name in workers and entrance.scheduler in schedulers:
-                entrance.door.cut_off()
+        """Make these workers unreachable for these schedulers, and stop the call-backs between them."""
+        for endpoint in self.worker_endpoints:
+            if endpoint.worker.spec.name in workers and endpoint.scheduler in schedulers:
+                endpoint.listener.cut_off()
         return {}
 
     def do_heal(self) -> dict[str, Any]:
-        """End all cuts."""
-        for entrance in self.entrances:
-            entrance.door.come_back()
+        """Make every worker reachable for every scheduler again."""
+        for endpoint in self.worker_endpoints:
+            endpoint.listener.restore()
         return {}
 
     def do_counts(self) -> dict[str, Any]:
-        """Return what was counted."""
+        """Return the counts of messages and bytes since the start."""
         return {"table": self.counts.table}
 
     def do_records(self) -> dict[str, Any]:
-        """Return the starts since the last call."""
-        started, self.started = self.started, []
-        return {"started": started}
+        """Return the job starts since the last call: job id, worker's name and monotonic time in ns."""
+        job_starts, self.job_starts = self.job_starts, []
+        return {"started": job_starts}
 
     def do_state(self) -> dict[str, Any]:
-        """Return how much is held at this moment."""
+        """Return the numbers of running jobs, waiting jobs and idle call-back connections."""
         return {"running": sum(len(m.running) for m in self.models.values()),
                 "waiting": sum(m.waiting for m in self.models.values()),
-                "kept": sum(len(e.idle) for e in self.entrances)}
+                "kept": sum(len(e.idle_connections) for e in self.worker_endpoints)}
 
-    async def _sweep(self) -> None:
+    async def _close_idle_periodically(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
             await asyncio.sleep(1.0)
-            for entrance in self.entrances:
-                if entrance.idle:
-                    entrance.sweep(loop.time())
+            for endpoint in self.worker_endpoints:
+                if endpoint.idle_connections:
+                    endpoint.close_idle_connections(loop.time())
 
 
 async def main() -> None:
-    """Serve until the input ends."""
-    await obey(Fleet().obey)
+    """Serve commands until standard input is closed."""
+    await serve_commands(Fleet().handle_command)
 
 
 if __name__ == "__main__":
--- a/hazellead/lab/capacity/real.py
+++ b/hazellead/lab/capacity/real.py
@@ -385,12 +385,12 @@
             await stand.cut(sorted(workers), sorted(outside))
             await stand.cut(sorted(set(stand.zones) - workers), sorted(inside))
             for n in inside:
-                stand.discovery.desks[n].door.cut_off()
+                stand.discovery.watch_servers[n].listener.cut_off()
             await asyncio.sleep(min(notice_s, span_s))
-            stand.discovery.turn(sorted(workers), "removed")
+            stand.discovery.set_state(sorted(workers), "removed")
             await asyncio.sleep(max(0.0, span_s - notice_s))
             await stand.heal()
-            stand.discovery.turn(sorted(workers), "up")
+            stand.discovery.set_state(sorted(workers), "up")
             happened.append((name, began, time.monotonic_ns(), span_s, inside))
             context.say(f"cuts: {name} is over")
             # What was open at the first cut must have ended before the next.
--- a/hazellead/lab/capacity/real_stand.py
+++ b/hazellead/lab/capacity/real_stand.py
@@ -19,7 +19,14 @@
 from types import TracebackType
 from typing import Any
 
-from hazellead.lab.capacity.hollow_counts import Counts, Hollow, Table, merged, open_to, since
+from hazellead.lab.capacity.hollow_counts import (
+    Counts,
+    HollowProcess,
+    Table,
+    merged,
+    open_connection,
+    subtract,
+)
 from hazellead.lab.capacity.hollow_discovery import Discovery
 from hazellead.lab.checker import RuleChecker
 from hazellead.net import http
@@ -101,10 +108,10 @@
 async def _call(to: tuple[str, int], method: str, target: str) -> tuple[int, bytes, int, int]:
     """Make one call; return status, body, bytes there and bytes back. Raises OSError or TimeoutError."""
     async with asyncio.timeout(ASK_S):
-        line = await open_to(to)
+        line = await open_connection(to)
         try:
             data = http.request(method, target, "operator", {"Connection": "close"})
-            message, size = await line.ask(data)
+            message, size = await line.send_request(data)
             return message.status, message.body, len(data), size
         finally:
             line.transport.abort()
@@ -262,8 +269,8 @@
         self.folder = Path(self._directory.name)
         self.counts, self.checker = Counts(), RuleChecker()
         self.discovery = Discovery()
-        self.workers: list[Hollow] = []
-        self.clients: list[Hollow] = []
+        self.workers: list[HollowProcess] = []
+        self.clients: list[HollowProcess] = []
         self.schedulers: dict[str, Process] = {}  # those that serve
         self.names = [f"n{i}" for i in range(size.schedulers)]
         self.zones = {f"w-{block:02d}-{i:04d}": i % len(ZONES) for i in range(size.workers)}
@@ -309,7 +316,7 @@
                 (self.workers, "hollow_workers", size.worker_processes),
                 (self.clients, "hollow_clients", size.client_processes)):
             for _ in range(count):
-                hollow = await Hollow.start(module)
+                hollow = await HollowProcess.start(module)
                 some.append(hollow)
                 self.started(hollow.process)
         rows = [{"number": i, "name": name, "zone": zone, "slots": size.slots, "queue": size.queue,
@@ -321,7 +328,7 @@
         for endpoints in opened:
             for name in self.names:
                 self._endpoints[name] |= endpoints[name]
-                self.discovery.desks[name].endpoints |= endpoints[name]
+                self.discovery.watch_servers[name].endpoints |= endpoints[name]
         self.discovery.set([
             (name, ZONES[zone], KINDS[i % len(KINDS)], i // 4, "up")
             for i, (name, zone) in enumerate(self.zones.items())])
@@ -376,7 +383,7 @@
             "discovery": at(self._desks[name]), "seed": f"{self.seed * 100 + process.number:x}",
             "settings": self._settings[name],
             # Without a list from before, a scheduler asks discovery only once its first job has come.
-            "known": json.loads(self.discovery.body(None, self._endpoints[name])),
+            "known": json.loads(self.discovery.list_json(None, self._endpoints[name])),
             "limits": {"sockets": self.size.sockets, "memory_mb": self.size.memory_mb}}))
         fresh.replace(process._config)
 
@@ -419,8 +426,8 @@
     async def heal(self) -> None:
         """End all cuts."""
         await asyncio.gather(*(h.ask("heal") for h in self.workers))
-        for desk in self.discovery.desks.values():
-            desk.door.come_back()
+        for desk in self.discovery.watch_servers.values():
+            desk.listener.restore()
 
     async def ramp(self, seconds: float, running: int | None = None) -> None:
         """Bring in the running tasks, and go on with as many as end."""
@@ -467,7 +474,7 @@
                 await asyncio.gather(*(s.stats() for s in self.schedulers.values()))
             await asyncio.sleep(max(0.0, min(looked, began + seconds) - time.monotonic()))
         after, took = await self.table(), time.monotonic() - began
-        for name, kinds in since(before, after).items():
+        for name, kinds in subtract(before, after).items():
             use = uses[name]
             use.seconds, use.kinds = took, kinds
             use.cpu = (use.cpu + self.schedulers[name].cpu_s()) / took
--- a/tests/test_capacity_hollow.py
+++ b/tests/test_capacity_hollow.py
@@ -1,4 +1,4 @@
-"""Costs that should not grow: counts and bytes of small plays in virtual time, the same every time."""
+"""Small simulations of the capacity lab: deterministic counts and bytes, and costs that must not grow."""
 
 from dataclasses import replace
 from random import Random
@@ -22,15 +22,15 @@
               work=Work(2.0, 0.3, 0.0), normal_aim_us=2 * US, deadline_us=30 * US)
 
 
-def play(shape: Shape, more_s: float = 35.0) -> Installation:
+def simulate(shape: Shape, more_s: float = 35.0) -> Installation:
     world = Installation(shape)
     world.start()
     world.time.run_us(int((shape.seconds + more_s) * US))
     return world
 
 
-def told(world: Installation) -> list[tuple[Any, ...]]:
-    return [(t.at_us, t.tenant, t.job_class, t.slots, t.tries, t.refusals, t.began_us, t.ended_us, t.end)
+def task_records(world: Installation) -> list[tuple[Any, ...]]:
+    return [(t.arrived_us, t.tenant, t.job_class, t.slots, t.tries, t.refusals, t.began_us, t.ended_us, t.end)
             for t in world.tasks]
 
 
@@ -44,19 +44,19 @@
     return cost.arrivals, cost.steps, cost.looks, cost.counts
 
 
-def test_an_installation_answers_each_task_once_by_the_rules_and_is_the_same_again() -> None:
-    world = play(SMALL)
+def test_an_installation_answers_each_task_once_by_the_rules_and_is_deterministic() -> None:
+    world = simulate(SMALL)
     assert world.checker.close(world.time.now_us()) == []
     assert len(world.tasks) > 100 and all(t.end for t in world.tasks)
     assert world.checker.answers["served"] > 0.9 * len(world.tasks)
-    assert told(world) == told(play(SMALL))
-    assert told(world) != told(play(replace(SMALL, seed=4)))
+    assert task_records(world) == task_records(simulate(SMALL))
+    assert task_records(world) != task_records(simulate(replace(SMALL, seed=4)))
 
 
 def test_an_installation_keeps_the_rules_through_failures_and_gangs() -> None:
     shape = replace(SMALL, gangs=Gangs(0.2, (2, 4, 8)), seconds=20.0)
 
-    def troubled() -> Installation:
+    def run_with_failures() -> Installation:
         world = Installation(shape)
         world.start()
         zone = [m for m in world.models.values() if m.spec.zone == 1]
@@ -70,51 +70,51 @@
         world.time.run_us(60 * US)
         return world
 
-    world = troubled()
+    world = run_with_failures()
     assert world.checker.close(world.time.now_us()) == []
     assert world.checker.answers["served"] > 100
     assert any(t.slots == 4 and t.end == "served" for t in world.tasks)
     assert not any(t.slots == 8 and t.began_us >= 0 for t in world.tasks)  # wider than every worker
-    assert {t.end for t in world.tasks if t.at_us < world.began_us + 11 * US} >= {"served", "died"}
-    assert told(world) == told(troubled())
+    assert {t.end for t in world.tasks if t.arrived_us < world.began_us + 11 * US} >= {"served", "died"}
+    assert task_records(world) == task_records(run_with_failures())
 
 
-def test_no_word_crosses_a_cut_and_all_of_it_arrives_after_the_join() -> None:
+def test_no_message_crosses_a_cut_and_delayed_ones_arrive_after_it_heals() -> None:
     shape = replace(SMALL, workers=2, zones=2, schedulers=1, seconds=2.0, starts=2.0)
     world = Installation(shape)
     world.start()
     world.time.run_us(int(1.5 * US))
-    out = [t for t in world.tasks if t.began_us >= 0 and not t.end]
-    assert out
+    running = [t for t in world.tasks if t.began_us >= 0 and not t.end]
+    assert running
     world.part((0,))
     world.time.run_us(10 * US)
     far = {m.spec.name for m in world.models.values() if m.spec.zone == 1}
-    waiting = [t for t in out if not t.end]
+    waiting = [t for t in running if not t.end]
     assert waiting and {world.checker._books[f"{t.identity}.{t.tries}"].worker for t in waiting} <= far
     world.join()
     world.time.run_us(US // 2)
-    assert all(t.end == "served" for t in out)
+    assert all(t.end == "served" for t in running)
 
 
-def test_a_gang_runs_when_as_many_cores_are_free_and_not_before() -> None:
+def test_a_gang_starts_only_when_enough_cores_are_free() -> None:
     class Ticket:
         def __init__(self, identity: str) -> None:
-            self.identity, self.work_s, self.heard = identity, 1.0, list[str]()
+            self.identity, self.work_s, self.reports = identity, 1.0, list[str]()
 
         def began(self) -> None:
-            self.heard.append("began")
+            self.reports.append("began")
 
         def progressed(self, share: float) -> None:
             pass
 
         def done(self) -> None:
-            self.heard.append("done")
+            self.reports.append("done")
 
         def returned(self) -> None:
-            self.heard.append("returned")
+            self.reports.append("returned")
 
         def lost(self) -> None:
-            self.heard.append("lost")
+            self.reports.append("lost")
 
     time = VirtualTime()
     worker = WorkerModel(WorkerSpec(1, "w", 0, 0, cores=4, speed=1.0, queue=3), time, Random(1), noise=0)
@@ -122,24 +122,24 @@
     assert worker.offer(one) and worker.offer(gang, 4) and worker.offer(behind)
     assert not worker.offer(Ticket("d"), 5)  # never fits
     time.run_us(US - 1)
-    assert (one.heard, gang.heard, behind.heard, worker.used) == (["began"], [], [], 1)
+    assert (one.reports, gang.reports, behind.reports, worker.used) == (["began"], [], [], 1)
     time.run_us(1)
-    assert gang.heard == ["began"] and behind.heard == [] and worker.used == 4
+    assert gang.reports == ["began"] and behind.reports == [] and worker.used == 4
     worker.cancel("b")
-    assert behind.heard == ["began"] and worker.used == 1
+    assert behind.reports == ["began"] and worker.used == 1
     time.run_us(US)
     assert worker.used == 0
 
 
-def test_the_work_for_an_arrival_does_not_grow_as_workers_double() -> None:
+def test_the_work_per_arrival_does_not_grow_with_the_number_of_workers() -> None:
     found = {}
     for workers in (20, 40, 80, 160):
         cost = window(replace(SMALL, workers=workers, starts=12.0))
         found[workers] = (cost.looks / cost.arrivals, (cost.events + cost.actions) / cost.arrivals)
         assert counts(cost) == counts(window(replace(SMALL, workers=workers, starts=12.0)))
-    for workers, (looks, things) in found.items():
-        assert looks <= 1.25 * 8, (workers, looks)  # a sample of eight, rarely more
-        assert things <= 1.25 * found[20][1], (workers, things)
+    for workers, (looks, items) in found.items():
+        assert looks <= 1.25 * 8, (workers, looks)  # samples eight candidates, rarely more
+        assert items <= 1.25 * found[20][1], (workers, items)
 
 
 def test_a_scheduler_keeps_no_state_of_tasks_that_have_ended() -> None:
@@ -153,57 +153,57 @@
     assert sum(alone.ends.values()) == alone.arrivals
 
 
-def test_memory_after_all_has_ended_is_a_fixed_part_by_worker_and_remembered_task() -> None:
+def test_memory_of_running_tasks_is_freed_when_all_have_ended() -> None:
     found = traced(replace(SMALL, starts=30.0, work=Work(4.0, 0.3, 0.0)))
     for idle, full, left in found.values():
         assert idle < left < full
-        assert full - left > 100 * 30.0 * 4.0 / 3  # 40 running tasks of a few hundred bytes have gone
-    # Two ways to count the same: what was allocated, and what can be reached.
+        assert full - left > 100 * 30.0 * 4.0 / 3  # 40 running tasks of a few hundred bytes were freed
+    # Allocated bytes and reachable bytes are two measures of the same memory.
     for by_trace, by_reach in zip(*found.values(), strict=True):
         assert 0.5 < by_reach / by_trace < 2
 
 
 def test_members_at_rest_send_a_bounded_number_of_messages() -> None:
     def rest(count: int) -> Any:
-        talk = Members(replace(SMALL, schedulers=count, starts=0.01 * count))
-        talk.join()
-        talk.window(10)
-        assert talk.mesh.deaths == [] and talk.agree(1) == 0
-        return talk.window(20)
+        group = Members(replace(SMALL, schedulers=count, starts=0.01 * count))
+        group.join()
+        group.window(10)
+        assert group.mesh.deaths == [] and group.agree(1) == 0
+        return group.window(20)
 
     few, many = rest(3), rest(9)
     assert few == rest(3)
-    # By period: a ping and its answer each half second; a digest each 0.4 s; a whole exchange each 10 s.
+    # A ping and its ack every 0.5 s, a digest every 0.4 s, a full sync every 10 s.
     assert few.messages_out < 9 and many.messages_out < 9
     assert many.bytes_out < 1.5 * few.bytes_out
 
 
 def test_members_find_each_other_again_after_a_cut() -> None:
-    talk = Members(replace(SMALL, schedulers=6, starts=1.0))
-    talk.warm()
-    talk.join()
-    assert talk.agree(10) < 5
-    talk.mesh.part(["n0", "n1", "n2"])
-    talk.window(20)
-    assert {talk.mesh.peers["n0"].node.swim.size, talk.mesh.peers["n5"].node.swim.size} == {3}
-    assert len(talk.mesh.deaths) == 18
-    talk.mesh.heal()
-    assert talk.agree(60) < 30
-    assert talk.know_alike(20) < 10
-
-
-def test_a_digest_grows_by_a_bounded_number_of_bytes_an_origin() -> None:
+    group = Members(replace(SMALL, schedulers=6, starts=1.0))
+    group.warm()
+    group.join()
+    assert group.agree(10) < 5
+    group.mesh.part(["n0", "n1", "n2"])
+    group.window(20)
+    assert {group.mesh.peers["n0"].node.swim.size, group.mesh.peers["n5"].node.swim.size} == {3}
+    assert len(group.mesh.deaths) == 18
+    group.mesh.heal()
+    assert group.agree(60) < 30
+    assert group.know_alike(20) < 10
+
+
+def test_a_digest_grows_by_a_bounded_number_of_bytes_per_origin() -> None:
     sizes = [digest_of(n) for n in (10, 20, 40, 80)]
     assert sizes == sorted(sizes)
     assert all(b - a <= 24 * n for a, b, n in zip(sizes, sizes[1:], (10, 20, 40), strict=False))
 
 
-def test_shares_are_parts_of_one_whole_and_uneven() -> None:
+def test_tenants_shares_sum_to_one_and_are_uneven() -> None:
     parts = shares(91)
     assert sum(parts) == pytest.approx(1) and parts[0] > 9 * parts[-1]
 
 
-def test_runs_of_a_small_size_say_the_same_each_time() -> None:
+def test_runs_of_a_small_size_are_deterministic() -> None:
     def once() -> Result:
         result, scope = Result(), Scope(small=True, seed=2, say=lambda _: None)
         for part in (runs.common, runs.gang_thresholds, runs.killed, runs.region):
@@ -217,7 +217,7 @@
     assert common["arrivals"].value == common["ends"].value == common["starts"].value
 
 
-def test_the_comparison_with_the_real_run_goes_by_arrival() -> None:
+def test_counts_are_compared_with_the_real_run_per_arrival() -> None:
     def run(arrivals: float, served: float, wait: float) -> Run:
         return Run("common", "real", {}, {
             "arrivals": Figure(arrivals, "tasks"), "served": Figure(served, "tasks"),
@@ -229,7 +229,7 @@
     assert found["arrivals"] == pytest.approx((100, 200, 0.5))
 
 
-def test_a_worker_that_is_told_to_drain_gets_nothing_new_while_its_list_changes_often() -> None:
+def test_a_draining_worker_gets_no_new_task() -> None:
     alone = Alone(SMALL)
     alone.come()
     alone.time.run_us(5 * US)
@@ -240,17 +240,18 @@
     assert {key for key, a in alone.running.items() if a.worker == 3} <= before
 
 
-def test_running_tasks_report_as_often_as_asked_and_never_after_their_end() -> None:
+def test_running_tasks_report_at_the_set_interval_and_never_after_their_end() -> None:
     world = Installation(replace(SMALL, seconds=5.0))
     world.start()
     world.time.run_us(5 * US)
-    running = world.taken() * 80
+    running = world.used_slot_share() * 80
     for model in world.models.values():
         model.report_every(US // 10)
-    for site in world.sites:
+    for site in world.scheduler_instances:
         site.meter.reset()
     world.time.run_us(US // 2)
-    heard = sum(site.meter.counts.get("JobBegan", 0) for site in world.sites)
-    assert 2 * running < heard < 6 * running + 10
+    reports = sum(site.meter.counts.get("JobBegan", 0) for site in world.scheduler_instances)
+    assert 2 * running < reports < 6 * running + 10
     world.time.run_us(30 * US)
-    assert world.checker.close(world.time.now_us()) == [] and not any(s.scheduler.held for s in world.sites)
+    assert world.checker.close(world.time.now_us()) == [] and not any(
+        s.scheduler.held for s in world.scheduler_instances)
--- a/tests/test_capacity_real.py
+++ b/tests/test_capacity_real.py
@@ -14,7 +14,7 @@
 from loopback import ROOT, run
 
 from hazellead.lab.capacity import real
-from hazellead.lab.capacity.hollow_counts import Counts, Row, Table, merged, since
+from hazellead.lab.capacity.hollow_counts import Counts, Row, Table, merged, subtract
 from hazellead.lab.capacity.real_stand import History, Stand, Use, judge
 from hazellead.lab.capacity.real_stand import Row as Task
 from hazellead.lab.capacity.result import Result
@@ -97,7 +97,7 @@
             return before, await stand.table()
 
     before, after = run(work())
-    there, size, _, back, _, _ = total(since(before, after), "running")
+    there, size, _, back, _, _ = total(subtract(before, after), "running")
     assert total(before, "running") == [0] * 6
     assert TASKS <= there == back <= 5 * TASKS  # once a second of a task at most
     assert 100 <= size / there <= 250  # bytes of one call-back, its head included
@@ -118,7 +118,7 @@
             await asyncio.sleep(1.5)
             held = await stand.held()
             assert (held["running"], held["waiting"]) == (0, 0)
-            return descriptors, stats, since(before, await stand.table())
+            return descriptors, stats, subtract(before, await stand.table())
 
     descriptors, stats, at_rest = run(work())
     assert all(s["concurrent"] == 0 for s in stats)
@@ -141,7 +141,7 @@
                 return all(s["targets"] == SIZE.workers + 1 for s in all_)
 
             await until(seen)
-            return since(before, await stand.table())
+            return subtract(before, await stand.table())
 
     changed = run(work())
     for kinds in changed.values():
@@ -157,7 +157,7 @@
             before = await stand.table()
             await stand.clients[0].ask("once", count=TASKS // 2, task_s=0.5, phase="hold")
             await served(stand, TASKS // 2)
-            counted = since(before, await stand.table())
+            counted = subtract(before, await stand.table())
             await stand.heal()
             told = await stand.history()
             assert not {worker for _, _, worker in told.ran} & set(cut)
@@ -201,7 +201,7 @@
     other.note("n0", "push", inward=True, size=40)
     both = merged([one.table, other.table])
     assert both == {"n0": {"push": [1, 40, 0, 1, 300, 200]}}
-    assert since(one.table, both) == {"n0": {"push": [1, 40, 0, 0, 0, 0]}}
+    assert subtract(one.table, both) == {"n0": {"push": [1, 40, 0, 0, 0, 0]}}
     assert one.table == {"n0": {"push": [0, 0, 0, 1, 300, 200]}}
 
 
