--- a/hazellead/lab/capacity/hollow_clients.py
+++ b/hazellead/lab/capacity/hollow_clients.py
@@ -62,9 +62,9 @@
         self.workload: Workload
         self._rng = Random(0)
         self._last_number = 0
-        self._open: dict[str, Task] = {}
-        self._ended: list[Task] = []
-        self._idle: dict[str, list[ClientConnection]] = {}
+        self._open_tasks: dict[str, Task] = {}
+        self._ended_tasks: list[Task] = []
+        self._idle_connections: dict[str, list[ClientConnection]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._arrivals_task: asyncio.Task[None] | None = None
         self._not_admitted: set[str] = set()
@@ -111,17 +111,17 @@
     def do_state(self) -> dict[str, Any]:
         """Return the number of open tasks by scheduler, and of ended tasks not yet fetched by ``records``."""
         table = dict.fromkeys(self.workload.schedulers, 0)
-        for task in self._open.values():
+        for task in self._open_tasks.values():
             table[task.scheduler] += 1
-        return {"open": table, "ended": len(self._ended)}
+        return {"open": table, "ended": len(self._ended_tasks)}
 
     def do_records(self) -> dict[str, Any]:
         """Return the tasks that have ended since the last call, and those that are open."""
-        ended, self._ended = self._ended, []
-        return {"ended": [t.row() for t in ended], "open": [t.row() for t in self._open.values()]}
+        ended, self._ended_tasks = self._ended_tasks, []
+        return {"ended": [t.row() for t in ended], "open": [t.row() for t in self._open_tasks.values()]}
 
-    def _spawn(self, work: Any) -> "asyncio.Task[None]":
-        task: asyncio.Task[None] = asyncio.ensure_future(work)
+    def _spawn(self, coroutine: Any) -> "asyncio.Task[None]":
+        task: asyncio.Task[None] = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
         return task
@@ -156,15 +156,15 @@
             self._last_number += 1
             task = Task(f"{self.workload.prefix}-{self._last_number:07d}", scheduler, job_class, tenant,
                         work_s, phase)
-            self._open[task.identity] = task
+            self._open_tasks[task.identity] = task
             retry_after_s = 0.0
             for _ in range(2):  # resend once if an idle connection closed while the request was being sent
                 resend, retry_after_s = await self._submit(task)
                 if not resend:
                     break
             task.ended_ns = time.monotonic_ns()
-            del self._open[task.identity]
-            self._ended.append(task)
+            del self._open_tasks[task.identity]
+            self._ended_tasks.append(task)
             if task.end not in ("refused", "not let in"):
                 return
             await asyncio.sleep(retry_after_s or RETRY_DELAY_S)
@@ -201,7 +201,7 @@
             return reused and time.monotonic_ns() - written_ns < CLOSE_RACE_NS, 0.0
         self.counts.note(task.scheduler, "request", inward=False, size=size, body=len(message.body))
         if message.keep:
-            self._idle.setdefault(task.scheduler, []).append(connection)
+            self._idle_connections.setdefault(task.scheduler, []).append(connection)
         else:
             connection.transport.close()
         task.end = {200: "served", 429: "refused", 503: "refused"}.get(message.status, "failed")
@@ -210,7 +210,7 @@
         return False, float(message.headers.get("retry-after", "0"))
 
     def _pop_idle_connection(self, scheduler: str) -> ClientConnection | None:
-        idle = self._idle.get(scheduler, [])
+        idle = self._idle_connections.get(scheduler, [])
         while idle:
             connection = idle.pop()
             if not connection.lost and not connection.transport.is_closing():
--- a/hazellead/lab/capacity/hollow_counts.py
+++ b/hazellead/lab/capacity/hollow_counts.py
@@ -35,10 +35,10 @@
     def note(self, scheduler: str, kind: str, *, inward: bool, size: int, body: int = 0) -> None:
         """Count one message of ``size`` bytes, ``body`` of them its body; ``inward`` is to the scheduler."""
         row = self.table.setdefault(scheduler, {}).setdefault(kind, [0] * len(FIELDS))
-        at = 0 if inward else 3
-        row[at] += 1
-        row[at + 1] += size
-        row[at + 2] += body
+        offset = 0 if inward else 3
+        row[offset] += 1
+        row[offset + 1] += size
+        row[offset + 2] += body
 
 
 def merged(tables: list[Table]) -> Table:
--- a/hazellead/lab/capacity/hollow_runs.py
+++ b/hazellead/lab/capacity/hollow_runs.py
@@ -47,7 +47,7 @@
     tasks = world.arrived(from_s, to_s)
     figures = {"tasks": Figure(len(tasks), "tasks", note=f"that arrived from {from_s:.0f} to {to_s:.0f} s")}
     for name, selected in (("urgent", [t for t in tasks if t.job_class == URGENT]),
-                       ("normal", [t for t in tasks if t.job_class != URGENT])):
+                           ("normal", [t for t in tasks if t.job_class != URGENT])):
         waits = _waits(world, selected)
         begun = [t for t in selected if t.began_us >= 0]
         figures |= {
@@ -144,8 +144,8 @@
             arrivals = run.figures.get("arrivals")
             per_arrival = arrivals and figure.unit in ("tasks", "pushes") and name != "arrivals"
             values.append(figure.value / (arrivals.value or 1) if arrivals and per_arrival else figure.value)
-        most = max(abs(v) for v in values)
-        found[name] = (values[0], values[1], (values[1] - values[0]) / most if most else 0.0)
+        largest = max(abs(v) for v in values)
+        found[name] = (values[0], values[1], (values[1] - values[0]) / largest if largest else 0.0)
     return found
 
 
@@ -224,8 +224,8 @@
     total, task_s, span = (80, 5.0, 30.0) if scope.small else (980, 30.0, 180.0)
     mixed, widest = Gangs(0.1), Gangs(0.1, (TARGET.gang,))
     all_schedulers = scope.shape().schedulers
-    plays = [(slots, load, mixed, all_schedulers) for slots in (10, 40) for load in (0.1, 0.86)]
-    for slots, load, mix, schedulers in [*plays, (40, 0.1, widest, 1), (40, 0.1, widest, all_schedulers)]:
+    cases = [(slots, load, mixed, all_schedulers) for slots in (10, 40) for load in (0.1, 0.86)]
+    for slots, load, mix, schedulers in [*cases, (40, 0.1, widest, 1), (40, 0.1, widest, all_schedulers)]:
         workers = max(2, total // slots)
         shape = scope.shape(
             workers=workers, slots=slots, gangs=mix, work=Work(task_s, 0.3, 0.0), schedulers=schedulers,
@@ -329,7 +329,7 @@
 
 
 def quotas(result: Result, scope: Scope) -> None:
-    """Simulate demand above the fleet's capacity, with one tenant's tasks uneven over the schedulers."""
+    """Simulate excess demand, with one tenant's tasks spread evenly or unevenly over the schedulers."""
     base = scope.shape()
     n = base.schedulers
     window_s = 20.0 if scope.small else 45.0
@@ -354,16 +354,18 @@
             _advance(world, shape.seconds)
             first = 2 * task_s
             tasks = world.arrived(first, shape.seconds)
-            team = [t for t in tasks if t.tenant == 0]
-            rest = [t for t in tasks if t.tenant != 0]
+            tenant_tasks = [t for t in tasks if t.tenant == 0]
+            other_tasks = [t for t in tasks if t.tenant != 0]
             span = window_s
             figures = {
-                "asked_over_quota": Figure(len(team) / span / quota, "part"),
-                "begun_over_quota": Figure(sum(t.began_us >= 0 for t in team) / span / quota, "part"),
-                "begun_over_asked": Figure(_fraction([t for t in team if t.began_us >= 0], team), "part"),
+                "asked_over_quota": Figure(len(tenant_tasks) / span / quota, "part"),
+                "begun_over_quota": Figure(sum(t.began_us >= 0 for t in tenant_tasks) / span / quota, "part"),
+                "begun_over_asked": Figure(
+                    _fraction([t for t in tenant_tasks if t.began_us >= 0], tenant_tasks), "part"),
                 "others_begun_over_asked": Figure(
-                    _fraction([t for t in rest if t.began_us >= 0], rest), "part"),
-                "refused_first": Figure(_fraction([t for t in team if t.refusals], team), "part"),
+                    _fraction([t for t in other_tasks if t.began_us >= 0], other_tasks), "part"),
+                "refused_first": Figure(
+                    _fraction([t for t in tenant_tasks if t.refusals], tenant_tasks), "part"),
                 "slots_taken": Figure(world.used_slot_share(), "part")}
             result.run(f"quota, {demand_name}, {name}", "hollow", world.plan.sizes(), figures, scope.seed,
                        _violations(world))
@@ -422,7 +424,7 @@
         world, at = _steady_installation(scope, 2 * cut)
         zone_workers = [m for m in world.models.values() if m.spec.zone == 1]
         worker_numbers = {m.spec.number for m in zone_workers}
-        affected = _running_at(world, worker_numbers)
+        affected = _tasks_with_attempts_at(world, worker_numbers)
         for m in zone_workers:
             m.vanish()
             world.change(m.spec.number, api.Phase.GONE, after_s=world.rng.uniform(6.3, 12.0))
@@ -445,8 +447,8 @@
                    _outcome_figures(affected, world.time.now_us()) | figures, scope.seed, _violations(world))
 
 
-def _running_at(world: Installation, workers: set[int]) -> list[Task]:
-    """Return the tasks that have an open attempt at one of the workers."""
+def _tasks_with_attempts_at(world: Installation, workers: set[int]) -> list[Task]:
+    """Return the tasks with an open attempt at one of the workers, given by number."""
     found = []
     by_identity = {f"{t.identity}.{t.tries}": t for t in world.tasks if not t.end}
     for instance in world.scheduler_instances:
@@ -462,7 +464,8 @@
     world, at = _steady_installation(scope, 2 * cut)
     zones = range(world.plan.zones // 2)
     unreachable = {s.number: {m.spec.number for m in world.models.values()
-                        if (m.spec.zone in zones) != (s.zone in zones)} for s in world.scheduler_instances}
+                              if (m.spec.zone in zones) != (s.zone in zones)}
+                   for s in world.scheduler_instances}
     affected = [t for t in world.tasks if not t.end]
     crossing = set[str]()
     for instance in world.scheduler_instances:
@@ -503,7 +506,7 @@
     group.join()
     joined = group.agree(60)
     group.window(3)
-    calm = group.window(6)
+    steady = group.window(6)
     false_deaths = len(group.mesh.deaths)
     cut_at_us = group.time.now_us()
     group.mesh.part([f"n{n}" for n in range(members // 2)])
@@ -516,7 +519,7 @@
     group.window(measured_s - min(measured_s, agreed))
     after = [(p.sent_bytes - sent_before) / measured_s
              for p, sent_before in zip(group.peers, sent, strict=True)]
-    alike = group.know_alike(60)
+    converged = group.know_alike(60)
     figures = {
         "joined": Figure(joined, "s", note="until every member saw all others alive"),
         "deaths_at_rest": Figure(false_deaths, "deaths", 0, "declared of members that were alive"),
@@ -525,8 +528,8 @@
         "all_dead": Figure((max(deaths) - cut_at_us) / US if deaths else math.inf, "s"),
         "deaths": Figure(len(deaths), "deaths", note="declared by one member of another"),
         "agreed_again": Figure(agreed, "s", note="after the heal, until every member saw all others alive"),
-        "alike_again": Figure(alike, "s", note="until each member had the others' facts as of then"),
-        "bytes_before": Figure(calm.bytes_out, "B/s", TARGET.traffic_b, "sent by one member"),
+        "alike_again": Figure(converged, "s", note="until each member had the others' facts as of then"),
+        "bytes_before": Figure(steady.bytes_out, "B/s", TARGET.traffic_b, "sent by one member"),
         "bytes_while_cut": Figure(while_cut.bytes_out, "B/s", TARGET.traffic_b),
         "bytes_after": Figure(sum(after) / len(after), "B/s", TARGET.traffic_b, "in the 10 s after the heal"),
         "most_bytes_after": Figure(max(after), "B/s", TARGET.traffic_b, "of one member")}
--- a/hazellead/lab/capacity/hollow_sweeps.py
+++ b/hazellead/lab/capacity/hollow_sweeps.py
@@ -39,8 +39,9 @@
 
 
 def _constant_sizes(shape: Shape, axis: str) -> dict[str, float]:
+    """Return the sizes that stay constant in a sweep along an axis."""
     sizes = {"workers": float(shape.workers), "running": shape.starts * shape.work.mean_s * shape.gangs.mean,
-            "starts": shape.starts, "tenants": float(shape.tenants), "schedulers": float(shape.schedulers)}
+             "starts": shape.starts, "tenants": float(shape.tenants), "schedulers": float(shape.schedulers)}
     return {k: v for k, v in sizes.items() if k != axis}
 
 
--- a/hazellead/lab/capacity/hollow_workers.py
+++ b/hazellead/lab/capacity/hollow_workers.py
@@ -73,8 +73,8 @@
             self.worker.cancel(target.rpartition("/")[2])
             return 200, {}
         identity = message.headers.get("x-trace-id", "")
-        work = float(message.body.split(b" ", 1)[0])
-        if self.worker.offer(HttpTicket(self, identity, work)):
+        work_s = float(message.body.split(b" ", 1)[0])
+        if self.worker.offer(HttpTicket(self, identity, work_s)):
             return 202, {}
         return 503, {"X-Never-Ran": "1"}
 
--- a/hazellead/lab/capacity/virtual_world.py
+++ b/hazellead/lab/capacity/virtual_world.py
@@ -81,7 +81,7 @@
 
 
 def fleet_of(plan: Shape) -> list[WorkerSpec]:
-    """Return the workers of a shape, which are all equal but for their zones."""
+    """Return the workers of a shape, which differ only in number, name and zone."""
     return [WorkerSpec(n, f"w-{n:04d}", n % plan.zones, 0, plan.slots, 1.0, plan.queue)
             for n in range(1, plan.workers + 1)]
 
@@ -214,7 +214,7 @@
         self.meter = install_meter(self.scheduler, self.world.rng.getrandbits(48))
 
     def kill(self) -> None:
-        """Stop at once; its open tasks end as died."""
+        """Stop at once; its open tasks end as died, and their clients get no answer."""
         self.up, self.life = False, self.life + 1
         self.world.checker.died(self.name)
         for request in list(self.scheduler._requests.values()):
--- a/tests/test_capacity_hollow.py
+++ b/tests/test_capacity_hollow.py
@@ -247,10 +247,10 @@
     running = world.used_slot_share() * 80
     for model in world.models.values():
         model.report_every(US // 10)
-    for site in world.scheduler_instances:
-        site.meter.reset()
+    for instance in world.scheduler_instances:
+        instance.meter.reset()
     world.time.run_us(US // 2)
-    reports = sum(site.meter.counts.get("JobBegan", 0) for site in world.scheduler_instances)
+    reports = sum(instance.meter.counts.get("JobBegan", 0) for instance in world.scheduler_instances)
     assert 2 * running < reports < 6 * running + 10
     world.time.run_us(30 * US)
     assert world.checker.close(world.time.now_us()) == [] and not any(
