--- a/hazellead/lab/capacity/hollow_workers.py
+++ b/hazellead/lab/capacity/hollow_workers.py
@@ -84,7 +84,7 @@
         task.add_done_callback(self._tasks.discard)
 
     async def call_back(self, event: dict[str, Any]) -> None:
-        """Send one call-back; repeat it until the scheduler answers 200 or 204, at most ``TRIES`` times."""
+        """Send one call-back; repeat it until the scheduler answers 200 or 204, at most ten times."""
         state = event["state"]
         body = json.dumps(event, separators=(",", ":")).encode()
         result = len(event.get("result", ""))
