--- a/hazellead/lab/capacity/__main__.py
+++ b/hazellead/lab/capacity/__main__.py
@@ -1,9 +1,9 @@
-"""Measures what the program costs at the users' size, writes the result file and renders docs/CAPACITY.md.
+"""Measures the program's resource use at the users' size, writes the result file, renders docs/CAPACITY.md.
 
-Run it with ``make capacity``, under 20 minutes. Exit code 0 when all was measured and written, 1 when a bound
-on time, memory or processes was passed or (``--check``) the page differs, 2 for bad arguments or files, 130
-when interrupted, 143 on SIGTERM. Whatever ends it early leaves the last good files as they were and nothing
-running.
+Run it with ``make capacity``; it takes under 20 minutes. Exit codes: 0 everything was measured and written;
+1 a limit on time, memory or processes was exceeded, or (``--check``) the page differs from the result file;
+2 invalid arguments or files; 130 interrupted; 143 SIGTERM. A run that ends early leaves the previous result
+and page unchanged and no process running.
 """
 
 import argparse
@@ -25,16 +25,16 @@
 from hazellead.lab.capacity.result import Result, ResultError, load
 
 DOCS = Path(__file__).parents[3] / "docs"
-MOST_S = 1190.0  # under 20 minutes, the end included
-MOST_MIB = 12 * 1024.0
-MOST_PROCESSES = 300
-PASSED, BAD, INTERRUPTED, TERMINATED = 1, 2, 130, 143
-PIECE = 40_000  # turns of the calibration's loop, some ten milliseconds
-PIECES = 9
+MAX_RUN_S = 1190.0  # under 20 minutes, including the shutdown
+MAX_MEMORY_MIB = 12 * 1024.0
+MAX_PROCESSES = 300
+LIMIT_EXCEEDED, INVALID_USAGE, INTERRUPTED, TERMINATED = 1, 2, 130, 143
+CALIBRATION_ITERATIONS = 40_000  # about ten milliseconds
+CALIBRATION_REPEATS = 9
 
 
 class Part(Protocol):
-    """One part of the measurement; adds to the result."""
+    """A function that measures one part and adds its results to ``result``."""
 
     def __call__(
         self,
@@ -45,135 +45,138 @@
         say: Callable[[str], None],
         track: Callable[[int], None],
     ) -> None:
-        """Measure; ``say`` prints progress, ``track`` names a process that was started."""
+        """Run the part; ``say`` prints progress, ``track`` registers the id of each process it starts."""
 
 
-def _real(result: Result, **given: Any) -> None:
-    importlib.import_module("hazellead.lab.capacity.real").measure(result, **given)
+def _real(result: Result, **options: Any) -> None:
+    importlib.import_module("hazellead.lab.capacity.real").measure(result, **options)
 
 
-def _hollow(result: Result, *, track: Callable[[int], None], **given: Any) -> None:
-    importlib.import_module("hazellead.lab.capacity.hollow").measure(result, **given)
+def _hollow(result: Result, *, track: Callable[[int], None], **options: Any) -> None:
+    importlib.import_module("hazellead.lab.capacity.hollow").measure(result, **options)
 
 
-PARTS: Mapping[str, Part] = {"real": _real, "hollow": _hollow}  # the second compares with the first
+PARTS: Mapping[str, Part] = {"real": _real, "hollow": _hollow}  # in this order: hollow is compared with real
 
 
-class BadError(Exception):
-    """Arguments or files that can't be used; the message is one line."""
+class UsageError(Exception):
+    """Invalid arguments or unusable files; the message is one line."""
 
 
 class _Parser(argparse.ArgumentParser):
     def error(self, message: str) -> NoReturn:
-        raise BadError(message)
+        raise UsageError(message)
 
 
 class Interruption:
-    """What has ended a run early: a signal, or a bound that was passed. It rises as KeyboardInterrupt.
+    """Ends a run early on a signal or an exceeded limit, by raising KeyboardInterrupt in the main thread.
 
-    A part that doesn't end within the grace finds its processes ended; after as long again this one ends too.
+    If a part is still running after ``GRACE_S``, its processes are ended; after another ``GRACE_S`` this
+    process exits as well.
     """
 
     def __init__(self) -> None:
-        """Nothing yet."""
-        self.code, self.words = 0, ""
+        """Start without an interruption."""
+        self.exit_code, self.reason = 0, ""
         self.peaks: Peaks | None = None
-        self._held, self._done = False, threading.Event()
-        self._before: dict[int, Any] = {}
+        self._deferring, self._finished = False, threading.Event()
+        self._previous_handlers: dict[int, Any] = {}
 
-    def listen(self) -> None:
-        """Take SIGINT, also where it was ignored at the start, as in a shell's background, and SIGTERM."""
+    def install_handlers(self) -> None:
+        """Handle SIGTERM and SIGINT, the latter also where a shell's background job ignores it."""
         for number in (signal.SIGINT, signal.SIGTERM):
-            self._before[number] = signal.signal(number, self._came)
+            self._previous_handlers[number] = signal.signal(number, self._on_signal)
 
-    def done(self) -> None:
-        """Listen no more."""
-        self._done.set()
-        for number, handler in self._before.items():
+    def restore_handlers(self) -> None:
+        """Restore the previous signal handlers and cancel the forced exit."""
+        self._finished.set()
+        for number, handler in self._previous_handlers.items():
             signal.signal(number, handler)
 
     @contextmanager
-    def held(self) -> Iterator[None]:
-        """Let what is done here come to its end first."""
-        self._held = True
+    def deferred(self) -> Iterator[None]:
+        """Defer KeyboardInterrupt until the block has ended."""
+        self._deferring = True
         try:
             yield
         finally:
-            self._held = False
-        if self.code:
+            self._deferring = False
+        if self.exit_code:
             raise KeyboardInterrupt
 
-    def passed(self, words: str) -> None:
-        """End the run, from another thread, since a bound was passed."""
-        self._note(PASSED, f"stopped: {words}")
+    def limit_exceeded(self, reason: str) -> None:
+        """End the run because a limit was exceeded; called from another thread."""
+        self._record(LIMIT_EXCEEDED, f"stopped: {reason}")
         signal.pthread_kill(threading.main_thread().ident or 0, signal.SIGINT)
 
-    def _came(self, number: int, frame: FrameType | None) -> None:
+    def _on_signal(self, number: int, frame: FrameType | None) -> None:
         if number == signal.SIGTERM:
-            self._note(TERMINATED, "ended by SIGTERM")
+            self._record(TERMINATED, "ended by SIGTERM")
         else:
-            self._note(INTERRUPTED, "interrupted")
-        if not self._held:
+            self._record(INTERRUPTED, "interrupted")
+        if not self._deferring:
             raise KeyboardInterrupt
 
-    def _note(self, code: int, words: str) -> None:
-        if not self.code:
-            self.code, self.words = code, words
-            threading.Thread(target=self._insist, name="insist", daemon=True).start()
+    def _record(self, code: int, reason: str) -> None:
+        if not self.exit_code:
+            self.exit_code, self.reason = code, reason
+            threading.Thread(target=self._force_exit, name="force-exit", daemon=True).start()
 
-    def _insist(self) -> None:
+    def _force_exit(self) -> None:
         for last in (False, True):
-            if self._done.wait(GRACE_S):
+            if self._finished.wait(GRACE_S):
                 return
             if self.peaks:
                 self.peaks.end_all(1.0)
             if last:
-                print(f"capacity: {self.words}; a part did not end by itself", file=sys.stderr, flush=True)
-                os._exit(self.code)
+                print(f"capacity: {self.reason}; a part did not stop in time", file=sys.stderr, flush=True)
+                os._exit(self.exit_code)
 
 
-def arguments(argv: Sequence[str] | None, names: Sequence[str]) -> argparse.Namespace:
-    """Read the arguments; raises BadError."""
+def parse_arguments(argv: Sequence[str] | None, names: Sequence[str]) -> argparse.Namespace:
+    """Parse and check the arguments; raises UsageError."""
     parser = _Parser(
         prog="capacity", description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter
     )
     parser.add_argument("--only", choices=names, help="measure one part; needs --out")
-    parser.add_argument("--small", action="store_true", help="small sizes, some seconds; needs --out")
-    parser.add_argument("--seed", type=int, default=1, help="of everything that is drawn (default 1)")
+    parser.add_argument("--small", action="store_true", help="small sizes, takes a few seconds; needs --out")
+    parser.add_argument("--seed", type=int, default=1, help="seed of all random draws (default 1)")
     parser.add_argument(
-        "--out", type=Path, metavar="FILE", help="write the result there and leave the page alone"
+        "--out", type=Path, metavar="FILE", help="write the result to FILE and do not render the page"
     )
-    which = parser.add_mutually_exclusive_group()
-    which.add_argument("--render", action="store_true", help="only render the page from the result file")
-    which.add_argument(
-        "--check", action="store_true", help="only say whether the page is what the file gives"
+    modes = parser.add_mutually_exclusive_group()
+    modes.add_argument("--render", action="store_true", help="only render the page from the result file")
+    modes.add_argument(
+        "--check", action="store_true", help="only check that the page matches the result file"
     )
-    given = parser.parse_args(argv)
-    if given.seed < 0:
-        raise BadError("argument --seed: is below 0")
-    if (given.render or given.check) and (given.only or given.small or given.out or given.seed != 1):
-        raise BadError("--render and --check take no other argument")
-    if (given.only or given.small) and not given.out:
-        raise BadError("--only and --small need --out FILE: the page's file is of a whole run at full size")
-    return given
+    options = parser.parse_args(argv)
+    if options.seed < 0:
+        raise UsageError("argument --seed: must not be negative")
+    if (options.render or options.check) and (
+        options.only or options.small or options.out or options.seed != 1
+    ):
+        raise UsageError("--render and --check cannot be combined with other arguments")
+    if (options.only or options.small) and not options.out:
+        raise UsageError("--only and --small need --out FILE: the page needs a complete run at full size")
+    return options
 
 
 def calibration_ms() -> float:
-    """Time a fixed piece of pure Python, in milliseconds, the best of several: the machine's speed."""
+    """Return the best time, in milliseconds, of a fixed pure Python loop, as a measure of machine speed."""
     best = float("inf")
-    for _ in range(PIECES):
+    for _ in range(CALIBRATION_REPEATS):
         began = time.perf_counter()
         seen: dict[int, int] = {}
         value = 1
-        for i in range(PIECE):
+        for i in range(CALIBRATION_ITERATIONS):
             value = value * 48_271 % 2_147_483_647
             seen[value & 1023] = seen.get(value & 1023, 0) + (i & 7)
         best = min(best, time.perf_counter() - began)
     return best * 1000
 
 
-def _whole(path: Path, data: bytes) -> None:
-    """Write a file whole or not at all."""
+def _write_atomically(path: Path, data: bytes) -> None:
+    """Replace a file atomically."""
     fresh = path.with_name(f"{path.name}.{os.getpid()}")
     try:
         fresh.write_bytes(data)
@@ -182,92 +185,96 @@
         fresh.unlink(missing_ok=True)
 
 
-class Place:
-    """Where the page, its plots and the result file are."""
+class PageFiles:
+    """The files of the page: its text, its plots and the results it is rendered from."""
 
     def __init__(self, docs: Path) -> None:
-        """Keep the paths."""
+        """Derive the paths from the documentation folder."""
         self.page, self.folder = docs / "CAPACITY.md", docs / "capacity"
         self.result = self.folder / "result.json"
-        self.before = self.folder / "before.json"  # from before the mechanisms that the page tells of
+        # Measured before the mechanisms that the page describes.
+        self.earlier_result = self.folder / "before.json"
 
     def read(self) -> Result:
-        """Return the last good result, or an empty one before the first run; raises ResultError."""
+        """Return the stored result, or an empty one if there is none yet; raises ResultError."""
         return load(self.result) if self.result.exists() else Result()
 
     def text(self, result: Result) -> str:
-        """Return the page with its parts made anew; raises BadError, or ResultError for the one before."""
-        before = load(self.before) if self.before.exists() else None
+        """Return the page with its generated parts replaced.
+
+        Raises UsageError for an unusable page, ResultError for an unusable earlier result.
+        """
+        before = load(self.earlier_result) if self.earlier_result.exists() else None
         try:
             return page.insert(self.page.read_text(), page.parts(result, before))
         except (OSError, UnicodeDecodeError) as error:
-            raise BadError(f"{self.page.name}: {error}") from None
+            raise UsageError(f"{self.page.name}: {error}") from None
         except page.PageError as error:
-            raise BadError(str(error)) from None
+            raise UsageError(str(error)) from None
 
     def render(self, result: Result) -> page.Rendered:
-        """Return page and plots; raises BadError."""
+        """Render the page and its plots; raises UsageError."""
         return page.Rendered(self.text(result), page.draw(result))
 
     def write(self, rendered: page.Rendered, result: Result | None = None) -> None:
-        """Write the result if there is a new one, then plots and page; raises BadError."""
+        """Write the result, if given, then plots and page, and delete stale plots; raises UsageError."""
         try:
             self.folder.mkdir(exist_ok=True)
             if result is not None:
                 result.save(self.result)
             for name, data in rendered.plots.items():
-                _whole(self.folder / name, data)
+                _write_atomically(self.folder / name, data)
             for path in self.folder.glob("*.svg"):
                 if path.name not in rendered.plots:
                     path.unlink()
-            _whole(self.page, rendered.text.encode())
+            _write_atomically(self.page, rendered.text.encode())
         except OSError as error:
-            raise BadError(str(error)) from None
+            raise UsageError(str(error)) from None
 
-    def differs(self, rendered: page.Rendered) -> list[str]:
-        """Name the files that are not what was rendered."""
-        there = {path.name: path.read_bytes() for path in self.folder.glob("*.svg")}
-        odd = [
+    def differing_files(self, rendered: page.Rendered) -> list[str]:
+        """Return the names of the files that differ from what was rendered."""
+        existing = {path.name: path.read_bytes() for path in self.folder.glob("*.svg")}
+        differing = [
             name
-            for name in sorted(there.keys() | rendered.plots.keys())
-            if there.get(name) != rendered.plots.get(name)
+            for name in sorted(existing.keys() | rendered.plots.keys())
+            if existing.get(name) != rendered.plots.get(name)
         ]
-        return ([self.page.name] if self.page.read_text() != rendered.text else []) + odd
+        return ([self.page.name] if self.page.read_text() != rendered.text else []) + differing
 
 
 def _measure(
-    given: argparse.Namespace, parts: Mapping[str, Part], interruption: Interruption, most_s: float
+    options: argparse.Namespace, parts: Mapping[str, Part], interruption: Interruption, max_run_s: float
 ) -> Result:
-    peaks = Peaks(MOST_MIB, MOST_PROCESSES, most_s, interruption.passed)
+    peaks = Peaks(MAX_MEMORY_MIB, MAX_PROCESSES, max_run_s, interruption.limit_exceeded)
     interruption.peaks = peaks
 
     def say(text: str) -> None:
-        print(f"{peaks.passed_s:7.1f} s  {text}", flush=True)
+        print(f"{peaks.elapsed_s:7.1f} s  {text}", flush=True)
 
     result = Result(cores=os.cpu_count() or 0, python=platform.python_version())
     peaks.start()
     try:
         result.calibration_ms = calibration_ms()
-        say(f"a fixed piece of Python takes {result.calibration_ms:.2f} ms here")
+        say(f"calibration loop: {result.calibration_ms:.2f} ms")
         for name, part in parts.items():
-            if given.only in (None, name):
-                say(f"{name}: begins")
-                part(result, small=given.small, seed=given.seed, say=say, track=peaks.track)
+            if options.only in (None, name):
+                say(f"{name}: started")
+                part(result, small=options.small, seed=options.seed, say=say, track=peaks.track)
                 say(f"{name}: done")
         result.calibration_ms = min(result.calibration_ms, calibration_ms())
         peaks.sample()
     finally:
-        with interruption.held():
+        with interruption.deferred():
             left = peaks.close()
             if left:
-                say(f"ended {len(left)} processes that were left")
+                say(f"ended {len(left)} processes that were still running")
             say(f"peaks: {peaks.memory_mib:.0f} MiB resident, {peaks.processes} processes together")
-    result.seconds = round(peaks.passed_s, 1)
+    result.seconds = round(peaks.elapsed_s, 1)
     result.peak_memory_mib, result.peak_processes = round(peaks.memory_mib, 1), peaks.processes
     return result
 
 
-def _conclude(result: Result) -> None:
+def _print_summary(result: Result) -> None:
     for pair in table.pairs(result):
         print(
             f"           {pair.run}, {pair.key}: real {pair.real:.4g}, hollow {pair.hollow:.4g}, "
@@ -289,41 +296,41 @@
 def _run(
     argv: Sequence[str] | None,
     parts: Mapping[str, Part],
-    place: Place,
+    files: PageFiles,
     interruption: Interruption,
-    most_s: float,
+    max_run_s: float,
 ) -> int:
-    given = arguments(argv, list(parts))
-    held = place.read() if not given.out else Result()
-    if given.out and (given.out.is_dir() or not given.out.parent.is_dir()):
-        raise BadError(f"argument --out: {given.out} can't be written")
-    if given.out and given.out.resolve() == place.result.resolve():
-        raise BadError("argument --out: the page's own file is written by a whole run only")
-    if given.check:
-        odd = place.differs(place.render(held))
+    options = parse_arguments(argv, list(parts))
+    stored = files.read() if not options.out else Result()
+    if options.out and (options.out.is_dir() or not options.out.parent.is_dir()):
+        raise UsageError(f"argument --out: {options.out} cannot be written")
+    if options.out and options.out.resolve() == files.result.resolve():
+        raise UsageError("argument --out: the page's result file is only written by a complete run")
+    if options.check:
+        differing = files.differing_files(files.render(stored))
         print(
-            f"capacity: differs from the file: {', '.join(odd)}"
-            if odd
-            else "capacity: the page is as the file"
+            f"capacity: differs from the result file: {', '.join(differing)}"
+            if differing
+            else "capacity: the page matches the result file"
         )
-        return 1 if odd else 0
-    if given.render:
-        rendered = place.render(held)
-        with interruption.held():
-            place.write(rendered)
+        return 1 if differing else 0
+    if options.render:
+        rendered = files.render(stored)
+        with interruption.deferred():
+            files.write(rendered)
         return 0
-    place.text(held)  # a page that can't take its parts is found before anything is measured
-    result = _measure(given, parts, interruption, most_s)
-    if given.out:
+    files.text(stored)  # detects an unusable page before the long measurement
+    result = _measure(options, parts, interruption, max_run_s)
+    if options.out:
         try:
-            result.save(given.out)
+            result.save(options.out)
         except OSError as error:
-            raise BadError(f"argument --out: {error}") from None
+            raise UsageError(f"argument --out: {error}") from None
     else:
-        fresh = place.render(result)
-        with interruption.held():
-            place.write(fresh, result)
-    _conclude(result)
+        fresh = files.render(result)
+        with interruption.deferred():
+            files.write(fresh, result)
+    _print_summary(result)
     return 0
 
 
@@ -331,21 +338,21 @@
     argv: Sequence[str] | None = None,
     parts: Mapping[str, Part] = PARTS,
     docs: Path = DOCS,
-    most_s: float = MOST_S,
+    max_run_s: float = MAX_RUN_S,
 ) -> int:
-    """Do what the arguments say; return the exit code. ``parts`` and ``docs`` can be others, for tests."""
+    """Run the command and return its exit code; tests pass their own ``parts``, ``docs`` and time limit."""
     interruption = Interruption()
-    interruption.listen()
+    interruption.install_handlers()
     try:
-        return _run(argv, parts, Place(docs), interruption, most_s)
-    except (BadError, ResultError) as error:
+        return _run(argv, parts, PageFiles(docs), interruption, max_run_s)
+    except (UsageError, ResultError) as error:
         print(f"capacity: {' '.join(str(error).split())}", file=sys.stderr)
-        return BAD
+        return INVALID_USAGE
     except KeyboardInterrupt:
-        print(f"capacity: {interruption.words or 'interrupted'}", file=sys.stderr)
-        return interruption.code or INTERRUPTED
+        print(f"capacity: {interruption.reason or 'interrupted'}", file=sys.stderr)
+        return interruption.exit_code or INTERRUPTED
     finally:
-        interruption.done()
+        interruption.restore_handlers()
 
 
 if __name__ == "__main__":
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -604,7 +604,7 @@
             if not deaf:
                 raise
 
-sys.exit(command.main(["--seed", "3"], parts={"real": part}, docs=docs, most_s=limit))
+sys.exit(command.main(["--seed", "3"], parts={"real": part}, docs=docs, max_run_s=limit))
 """
 
 
