--- a/hazellead/lab/capacity/alone.py
+++ b/hazellead/lab/capacity/alone.py
@@ -1,9 +1,9 @@
-"""One scheduler of many, alone with stand-ins that take every task at once: what it costs by size.
+"""A harness for one scheduler in virtual time, with simulated workers that start every task at once.
 
-Its part of the arrivals, the whole list of workers and the call-backs of its running tasks reach the real
-core and the real decisions; nothing else runs. So work can be counted, timed and its memory traced for it
-alone, in plays short enough for a sweep. What waiting for busy workers costs is left to the plays of whole
-installations.
+The scheduler's share of the arrivals, the full worker list and the call-backs of its running tasks reach the
+real core and the real decisions; nothing else runs. So its work is counted, timed and its memory traced
+separately, in runs short enough for a sweep. The cost of waiting for busy workers is measured in runs of
+whole installations instead.
 """
 
 import gc
@@ -34,37 +34,38 @@
 from hazellead.lab.fleet import US
 from hazellead.lab.time import VirtualTime
 
-START_US = 2000  # from a push to the word of its start
-REPORT_US = US  # between a running task's reports
-_OURS = ("*/hazellead/decide/*", "*/hazellead/core/*", "<string>")  # the last: initialisers of records
+START_US = 2000  # from a push to the call-back of its start
+REPORT_US = US  # between the progress reports of a running task
+# "<string>" is the file name of generated dataclass initialisers.
+_TRACED_FILES = ("*/hazellead/decide/*", "*/hazellead/core/*", "<string>")
 
 
 def names_of(shape: Shape) -> tuple[tuple[str, ...], tuple[str, ...]]:
-    """Return what classes and tenants are called."""
+    """Return the names of the classes and of the tenants."""
     return ("normal", "urgent"), tuple(f"tenant-{n}" for n in range(shape.tenants))
 
 
 class _Reply:
-    """A client that counts."""
+    """A client's reply object that counts the outcomes."""
 
-    __slots__ = ("_ends",)
+    __slots__ = ("_outcomes",)
 
-    def __init__(self, ends: dict[str, int]) -> None:
-        self._ends = ends
+    def __init__(self, outcomes: dict[str, int]) -> None:
+        self._outcomes = outcomes
 
     def _end(self, kind: str) -> None:
-        self._ends[kind] = self._ends.get(kind, 0) + 1
+        self._outcomes[kind] = self._outcomes.get(kind, 0) + 1
 
     def served(self, result: bytes) -> None:
-        """Count it."""
+        """Count a served task."""
         self._end("served")
 
     def refused(self, retry_after: timedelta) -> None:
-        """Count it."""
+        """Count a refused task."""
         self._end("refused")
 
     def failed(self, reason: str) -> None:
-        """Count it."""
+        """Count a failed task."""
         self._end("failed")
 
     def began(self) -> None:
@@ -79,57 +80,57 @@
 
 @dataclass(slots=True, frozen=True)
 class Cost:
-    """What a window of a play cost one scheduler. Counts and times are of the window."""
+    """The work of one scheduler in a measured window."""
 
     seconds: float
     arrivals: int
-    decisions_ns: int  # processor time in the decisions
-    whole_ns: int  # that of the play: decisions, core and stand-ins
+    decisions_ns: int  # processor time of the decisions
+    total_ns: int  # processor time of decisions, core and simulation
     steps: int
-    looks: int  # candidates looked at for a job
+    looks: int  # candidate workers examined for jobs
     counts: dict[str, int]  # events and actions by kind
 
     @property
     def events(self) -> int:
-        """Return the events that the decisions were told."""
+        """Return the number of events passed to the decisions."""
         return sum(n for kind, n in self.counts.items() if kind in _EVENTS)
 
     @property
     def actions(self) -> int:
-        """Return the actions that they asked for."""
+        """Return the number of actions that the decisions returned."""
         return sum(n for kind, n in self.counts.items() if kind not in _EVENTS)
 
 
 _EVENTS = frozenset(kind.__name__ for kind in api.Event.__args__)
 
 
-class Alone:
-    """One scheduler, its part of a shape's arrivals, and workers that begin each task at once."""
+class SchedulerHarness:
+    """One scheduler with its share of a shape's arrivals, and workers that start each task at once."""
 
     def __init__(self, shape: Shape, time: VirtualTime | None = None, number: int = 0) -> None:
-        """Set up; ``run`` starts it. Several may share one ``time``."""
+        """Set up; ``start_arrivals`` or ``ramp`` starts the load. Schedulers may share one ``time``."""
         self.shape, self.number = shape, number
         self.time = time or VirtualTime()
         self._rng = Random(f"alone {shape.seed} {number}")
         self._fleet = fleet_of(shape)
         self._weights = shares(shape.tenants)
         self._entries = tuple(api.WorkerEntry(s.number, s.zone, s.kind) for s in self._fleet)
-        # Virtual time has the two calls of a loop that the scheduler makes.
+        # VirtualTime implements the two event loop methods that the scheduler calls.
         self.scheduler = Scheduler(settings_of(shape, self._fleet, number), self._rng.getrandbits(48),
                                    shape.limits, self.time, self.time,  # type: ignore[arg-type]
                                    names=names_of(shape))
         self.meter = metered(self.scheduler, self._rng.getrandbits(48))
         self.scheduler.connect(self, self)
-        self.ends: dict[str, int] = {}
+        self.outcomes: dict[str, int] = {}
         self.arrivals = 0
         self.running: dict[tuple[int, int], Attempt] = {}
-        self._coming, self._reporting = False, False
+        self._arriving, self._reporting = False, False
         self.subscribe()
 
-    # What the core asks of its transport and its directory.
+    # The core's transport and directory interfaces.
 
     def send(self, attempt: Attempt) -> None:
-        """Begin it, and end it when it has run."""
+        """Start the attempt after ``START_US`` and end it after its work time."""
         if not attempt.may_send():
             attempt.end(api.Outcome.MOOT)
             return
@@ -153,26 +154,26 @@
             self.time.after(REPORT_US, self._report, attempt)
 
     def give_up(self, attempt: Attempt) -> None:
-        """Stop it."""
+        """Cancel the attempt."""
         self.running.pop((attempt.request, attempt.number), None)
 
     def probe(self, worker: int, done: Callable[[api.Outcome], None]) -> None:
-        """Answer that it lives."""
+        """Answer a probe with success."""
         self.time.after(START_US, done, api.Outcome.SERVED)
 
     def release(self, worker: int) -> None:
-        """Do nothing: there are no connections."""
+        """Do nothing, as there are no connections."""
 
     def list_expired(self) -> bool:
-        """Return False: the whole list is told at once."""
+        """Return False, as the full list is always known."""
         return False
 
     def subscribe(self) -> None:
-        """Tell the whole list."""
+        """Send the full worker list to the scheduler."""
         self.scheduler.listed(api.WorkerList(api.ListKind.FULL, self._entries))
 
     def fetch(self) -> None:
-        """Tell the whole list."""
+        """Send the full worker list again."""
         self.subscribe()
 
     def name(self, worker: int) -> str:
@@ -181,21 +182,21 @@
 
     # Clients.
 
-    def come(self) -> None:
-        """Let tasks come from now on, until ``stop``."""
-        self._coming = True
+    def start_arrivals(self) -> None:
+        """Let tasks arrive from now on, until ``stop``."""
+        self._arriving = True
         self._next()
 
     def stop(self) -> None:
-        """Let no more come."""
-        self._coming = False
+        """Stop the arrivals."""
+        self._arriving = False
 
     def _next(self) -> None:
         rate = self.shape.starts / self.shape.schedulers
         self.time.after(self._rng.expovariate(rate) * US, self._arrive)
 
     def _arrive(self) -> None:
-        if not self._coming:
+        if not self._arriving:
             return
         rng, shape = self._rng, self.shape
         self.arrivals += 1
@@ -203,23 +204,23 @@
         job = Job(f"a{self.number}-{self.arrivals}", repr(shape.work.draw(rng)), b"",
                   URGENT if rng.random() < shape.urgent else NORMAL,
                   rng.choices(range(shape.tenants), self._weights)[0], span(shape.deadline_us), float(slots))
-        self.scheduler.submit(job, _Reply(self.ends))
+        self.scheduler.submit(job, _Reply(self.outcomes))
         self._next()
 
-    def ask(self, tenant: int, slots: int, work_s: float = 5.0) -> bool:
-        """Ask for one task; say whether the decisions have taken it in rather than refused it at once."""
-        ends = dict[str, int]()
+    def submit_task(self, tenant: int, slots: int, work_s: float = 5.0) -> bool:
+        """Submit one task; return whether it was accepted, that is, has no answer after two ticks."""
+        outcomes = dict[str, int]()
         self.arrivals += 1
         job = Job(f"b{self.number}-{self.arrivals}", repr(work_s), b"", NORMAL, tenant,
                   span(self.shape.deadline_us), float(slots))
-        self.scheduler.submit(job, _Reply(ends))
+        self.scheduler.submit(job, _Reply(outcomes))
         self.time.run_us(2 * self.scheduler.settings.tick_us)
-        return not ends
+        return not outcomes
 
     # Changes.
 
-    def change_lists(self, a_minute: float) -> None:
-        """Let the list change so often: a worker drains and, at the next change, is back with a new start."""
+    def change_lists(self, per_minute: float) -> None:
+        """Change the worker list periodically: a worker drains, and at the next change has restarted."""
         drained: list[int] = []
 
         def change() -> None:
@@ -230,45 +231,46 @@
                 drained.append(worker)
             entry = api.WorkerEntry(worker, worker % self.shape.zones, 0, phase=phase, started_us=since)
             self.scheduler.listed(api.WorkerList(api.ListKind.CHANGES, (entry,)))
-            self.time.after(60 / a_minute * US, change)
+            self.time.after(60 / per_minute * US, change)
 
-        if a_minute > 0:
-            self.time.after(self._rng.random() * 60 / a_minute * US, change)
+        if per_minute > 0:
+            self.time.after(self._rng.random() * 60 / per_minute * US, change)
 
-    def change_settings(self, a_minute: float) -> None:
-        """Bring the same settings with another number of attempts in force so often."""
+    def change_settings(self, per_minute: float) -> None:
+        """Change the settings periodically, by alternating the number of attempts."""
         def change() -> None:
             settings = self.scheduler.settings
             other = replace(settings, max_attempts=5 - settings.max_attempts)
             self.scheduler.retune(self.scheduler.following(other, *names_of(self.shape)))
-            self.time.after(60 / a_minute * US, change)
+            self.time.after(60 / per_minute * US, change)
 
-        if a_minute > 0:
-            self.time.after(self._rng.random() * 60 / a_minute * US, change)
+        if per_minute > 0:
+            self.time.after(self._rng.random() * 60 / per_minute * US, change)
 
     # Measuring.
 
     def ramp(self) -> None:
-        """Let as many run as will run from then on."""
-        self.come()
+        """Let tasks arrive until the number of running tasks is steady."""
+        self.start_arrivals()
         work = self.shape.work
         self.time.run_us(int((1 + 1.2 * work.cv) * work.mean_s * US))
 
-    def window(self, seconds: float, *, reports: bool = True) -> Cost:
-        """Play a window and return its cost; ``reports``: running tasks report each second in it."""
+    def measure(self, seconds: float, *, reports: bool = True) -> Cost:
+        """Run for a time and return its cost; ``reports``: running tasks report progress once a second."""
         self._reporting = reports
         if reports:
             for attempt in self.running.values():
                 self.time.after(self._rng.random() * REPORT_US, self._report, attempt)
         self.meter.reset()
-        came, began = self.arrivals, thread_time_ns()
+        arrivals_before, began = self.arrivals, thread_time_ns()
         self.time.run_us(int(seconds * US))
-        whole, self._reporting = thread_time_ns() - began, False
+        elapsed_cpu_ns, self._reporting = thread_time_ns() - began, False
         m = self.meter
-        return Cost(seconds, self.arrivals - came, m.cpu_ns, whole, m.steps, m.looks, m.counts)
+        return Cost(
+            seconds, self.arrivals - arrivals_before, m.cpu_ns, elapsed_cpu_ns, m.steps, m.looks, m.counts)
 
-    def empty(self) -> dict[str, int]:
-        """Let none come, wait until all have ended, and return what state of tasks is left, by its name."""
+    def drain(self) -> dict[str, int]:
+        """Stop arrivals, run until all tasks must have ended, and return the leftover entries by name."""
         self.stop()
         self.time.run_us(self.shape.deadline_us + 10 * US)
         s, d = self.scheduler, self.meter
@@ -279,54 +281,54 @@
                 "slots_held": round(sum(w.held for w in d.workers.values()))}
 
 
-def reached(scheduler: Scheduler) -> int:
-    """Return the bytes of all that a scheduler's core and decisions hold, by ``sys.getsizeof``.
+def reachable_bytes(scheduler: Scheduler) -> int:
+    """Return the size of all objects reachable from a scheduler's core and decisions, by ``sys.getsizeof``.
 
-    Each object that can be reached is counted once, jobs as the front gave them included; the loop, its
-    timers, clients, transports and code are not.
+    Each object counts once, including the submitted jobs; the loop, its timers, clients, transports and code
+    do not count.
     """
-    seen, todo, total = set[int](), list[object]([scheduler]), 0
-    while todo:
-        thing = todo.pop()
-        if id(thing) in seen or isinstance(thing, _CODE) or _foreign(type(thing).__module__):
+    seen, pending, total = set[int](), list[object]([scheduler]), 0
+    while pending:
+        item = pending.pop()
+        if id(item) in seen or isinstance(item, _CODE_TYPES) or _is_excluded(type(item).__module__):
             continue
-        seen.add(id(thing))
-        total += sys.getsizeof(thing)
-        todo += gc.get_referents(thing)
+        seen.add(id(item))
+        total += sys.getsizeof(item)
+        pending += gc.get_referents(item)
     return total
 
 
-_CODE = (type, ModuleType, FunctionType, BuiltinFunctionType, CodeType, Enum)
+_CODE_TYPES = (type, ModuleType, FunctionType, BuiltinFunctionType, CodeType, Enum)
 
 
-def _foreign(module: str) -> bool:
-    ours = module.startswith(("hazellead.core", "hazellead.decide")) or module == Metered.__module__
-    return not ours and module.startswith(("hazellead", "tornado", "structlog"))
+def _is_excluded(module: str) -> bool:
+    included = module.startswith(("hazellead.core", "hazellead.decide")) or module == Metered.__module__
+    return not included and module.startswith(("hazellead", "tornado", "structlog"))
 
 
-def traced(shape: Shape) -> dict[str, tuple[int, int, int]]:
-    """Return what one scheduler holds with no task, with all that run, and after all have ended.
+def trace_memory(shape: Shape) -> dict[str, tuple[int, int, int]]:
+    """Return one scheduler's memory in bytes: idle, with all tasks running, and after all have ended.
 
-    ``traced`` is by tracemalloc: blocks allocated in core and decisions and in the initialisers of records;
-    ``reached`` is what ``reached`` finds at the same moments.
+    ``traced`` is measured with tracemalloc: blocks allocated in core, decisions and dataclass initialisers;
+    ``reached`` is the result of ``reachable_bytes`` at the same moments.
     """
     gc.collect()
     tracemalloc.start()
     try:
-        alone = Alone(shape)
-        alone.time.run_us(US)
-        found = [(_held(), reached(alone.scheduler))]
-        alone.ramp()
-        found.append((_held(), reached(alone.scheduler)))
-        alone.empty()
-        found.append((_held(), reached(alone.scheduler)))
+        harness = SchedulerHarness(shape)
+        harness.time.run_us(US)
+        measured = [(_traced_bytes(), reachable_bytes(harness.scheduler))]
+        harness.ramp()
+        measured.append((_traced_bytes(), reachable_bytes(harness.scheduler)))
+        harness.drain()
+        measured.append((_traced_bytes(), reachable_bytes(harness.scheduler)))
     finally:
         tracemalloc.stop()
-    idle, full, left = found
-    return {"traced": (idle[0], full[0], left[0]), "reached": (idle[1], full[1], left[1])}
+    idle, loaded, left = measured
+    return {"traced": (idle[0], loaded[0], left[0]), "reached": (idle[1], loaded[1], left[1])}
 
 
-def _held() -> int:
+def _traced_bytes() -> int:
     gc.collect()
-    snapshot = tracemalloc.take_snapshot().filter_traces([tracemalloc.Filter(True, f) for f in _OURS])
+    snapshot = tracemalloc.take_snapshot().filter_traces([tracemalloc.Filter(True, f) for f in _TRACED_FILES])
     return sum(s.size for s in snapshot.statistics("filename"))
--- a/hazellead/lab/capacity/hollow_runs.py
+++ b/hazellead/lab/capacity/hollow_runs.py
@@ -7,9 +7,9 @@
 from statistics import median
 
 from hazellead.decide import interface as api
-from hazellead.lab.capacity.alone import Alone
+from hazellead.lab.capacity.alone import SchedulerHarness
 from hazellead.lab.capacity.hollow_scope import Scope
-from hazellead.lab.capacity.members import Members, short_tasks
+from hazellead.lab.capacity.members import Members, with_short_tasks
 from hazellead.lab.capacity.result import Figure, Result, Run
 from hazellead.lab.capacity.target import TARGET
 from hazellead.lab.capacity.virtual_world import URGENT, Gangs, Installation, Shape, Task, shares
@@ -276,15 +276,15 @@
     seen: bool  # a like one was asked for before
 
     def __call__(self, width: int) -> bool:
-        alone = Alone(self.shape)
+        alone = SchedulerHarness(self.shape)
         if self.shape.starts:
-            alone.come()
+            alone.start_arrivals()
         rest = int(1.4 * self.shape.work.mean_s * US)  # in which counters are sized anew
         alone.time.run_us(rest if self.shape.starts else 20 * US)
         if self.seen:
-            alone.ask(self.tenant, width)
+            alone.submit_task(self.tenant, width)
             alone.time.run_us(rest)
-        return alone.ask(self.tenant, width)
+        return alone.submit_task(self.tenant, width)
 
 
 def _first_refused(takes: Callable[[int], bool]) -> int:
@@ -475,25 +475,25 @@
     """Cut eighteen members in two for a minute, on a network that loses a twentieth of what is sent."""
     members = 6 if scope.small else 18
     loss, cut = 0.05, 20.0 if scope.small else CUT_S
-    shape = short_tasks(scope.shape(schedulers=members, workers=10 if scope.small else 60), 5.0)
+    shape = with_short_tasks(scope.shape(schedulers=members, workers=10 if scope.small else 60), 5.0)
     talk = Members(shape, MeshNetwork(loss=loss))
     talk.warm()
     talk.join()
-    joined = talk.agree(60)
-    talk.window(3)
-    calm = talk.window(6)
+    joined = talk.seconds_to_agree(60)
+    talk.measure(3)
+    calm = talk.measure(6)
     wrong_at_rest = len(talk.mesh.deaths)
     began = talk.time.now_us()
     talk.mesh.part([f"n{n}" for n in range(members // 2)])
-    while_cut = talk.window(cut)
+    while_cut = talk.measure(cut)
     deaths = [at for at, _, _ in talk.mesh.deaths if at >= began]
     sent = [p.sent_bytes for p in talk.peers]
     talk.mesh.heal()
-    agreed = talk.agree(120)
+    agreed = talk.seconds_to_agree(120)
     spent = max(10.0, agreed if math.isfinite(agreed) else 120.0)
-    talk.window(spent - min(spent, agreed))
+    talk.measure(spent - min(spent, agreed))
     after = [(p.sent_bytes - old) / spent for p, old in zip(talk.peers, sent, strict=True)]
-    alike = talk.know_alike(60)
+    alike = talk.seconds_to_share_facts(60)
     figures = {
         "joined": Figure(joined, "s", note="until all counted all"),
         "deaths_at_rest": Figure(wrong_at_rest, "deaths", 0, "declared of members that were there"),
--- a/hazellead/lab/capacity/hollow_sweeps.py
+++ b/hazellead/lab/capacity/hollow_sweeps.py
@@ -3,9 +3,9 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import replace
 
-from hazellead.lab.capacity.alone import Alone, reached, traced
+from hazellead.lab.capacity.alone import SchedulerHarness, reachable_bytes, trace_memory
 from hazellead.lab.capacity.hollow_scope import Scope
-from hazellead.lab.capacity.members import Members, digest_of, short_tasks
+from hazellead.lab.capacity.members import Members, digest_size, with_short_tasks
 from hazellead.lab.capacity.result import Figure, Result
 from hazellead.lab.capacity.virtual_world import Gangs, Shape
 from hazellead.lab.fleet import US
@@ -26,12 +26,12 @@
                      {size: [row[quantity][0] for row in plays] for size, plays in found.items()}, **held)
 
 
-def _window(alone: Alone, seconds: float) -> dict[str, tuple[float, str]]:
-    c = alone.window(seconds)
+def _window(alone: SchedulerHarness, seconds: float) -> dict[str, tuple[float, str]]:
+    c = alone.measure(seconds)
     return {
         "decisions_cpu": (c.decisions_ns / 1000 / seconds, "us/s"),
         "decisions_cpu_arrival": (c.decisions_ns / 1000 / max(1, c.arrivals), "us/arrival"),
-        "core_cpu": (c.whole_ns / 1000 / seconds, "us/s"),  # decisions, core and stand-ins
+        "core_cpu": (c.total_ns / 1000 / seconds, "us/s"),  # decisions, core and stand-ins
         "events": (c.events / seconds, "1/s"), "actions": (c.actions / seconds, "1/s"),
         "steps": (c.steps / seconds, "1/s"), "timers": (c.counts.get("SetTimer", 0) / seconds, "1/s"),
         "looks": (c.looks / max(1, c.arrivals), "1/arrival")}
@@ -80,7 +80,7 @@
         found: dict[float, list[Row]] = {}
         for size in sizes:
             for seed in scope.seeds[:2]:
-                alone = Alone(_along(scope, axis, size, scope.shape(seed)))
+                alone = SchedulerHarness(_along(scope, axis, size, scope.shape(seed)))
                 alone.ramp()
                 found.setdefault(size, []).append(_window(alone, seconds))
         _note(result, "scheduler", axis, found, _sizes(scope.shape(), axis))
@@ -93,7 +93,7 @@
         found: dict[float, list[Row]] = {}
         for size in sizes:
             for seed in scope.seeds[:2]:
-                alone = Alone(scope.shape(seed))
+                alone = SchedulerHarness(scope.shape(seed))
                 alone.ramp()
                 (alone.change_lists if role == "discovery" else alone.change_settings)(size)
                 found.setdefault(size, []).append(_window(alone, seconds))
@@ -109,18 +109,18 @@
         found: dict[float, list[Row]] = {}
         for size in _axes(scope)[axis]:
             for seed in scope.seeds[:2]:
-                alone = Alone(_along(scope, axis, size, scope.shape(seed)))
+                alone = SchedulerHarness(_along(scope, axis, size, scope.shape(seed)))
                 alone.time.run_us(US)
-                idle = reached(alone.scheduler)
+                idle = reachable_bytes(alone.scheduler)
                 alone.ramp()
-                full = reached(alone.scheduler)
-                alone.empty()
+                full = reachable_bytes(alone.scheduler)
+                alone.drain()
                 found.setdefault(size, []).append({
                     "memory_idle": (idle, "bytes"), "memory": (full, "bytes"),
-                    "memory_left": (reached(alone.scheduler), "bytes")})
+                    "memory_left": (reachable_bytes(alone.scheduler), "bytes")})
         _note(result, "scheduler", axis, found, _sizes(scope.shape(), axis))
     shape = scope.shape()
-    figures = {f"{name}_{stage}": Figure(value, "bytes") for name, stages in traced(shape).items()
+    figures = {f"{name}_{stage}": Figure(value, "bytes") for name, stages in trace_memory(shape).items()
                for stage, value in zip(("idle", "full", "left"), stages, strict=True)}
     result.run("memory", "hollow", shape.sizes(), figures, scope.seed)
 
@@ -137,21 +137,21 @@
         for size in sizes:
             for seed in scope.seeds[:2]:
                 base = scope.shape(seed) if axis == "schedulers" else scope.shape(seed, schedulers=2)
-                talk = Members(short_tasks(_along(scope, axis, size, base), task_s))
+                talk = Members(with_short_tasks(_along(scope, axis, size, base), task_s))
                 talk.warm(warm_s)
                 talk.join()
-                talk.window(settle)
-                talk.told_ns = 0
-                t = talk.window(seconds)
+                talk.measure(settle)
+                talk.publish_ns = 0
+                t = talk.measure(seconds)
                 row = {"bytes_out": (t.bytes_out, "B/s"), "messages_out": (t.messages_out, "1/s"),
                        "facts": (talk.facts(), "facts"), "digest": (talk.digest_bytes(), "bytes"),
                        "snapshot": (talk.snapshot_bytes(), "bytes"),
-                       "telling_cpu": (talk.told_ns / 1000 / seconds / len(talk.peers), "us/s")}
+                       "telling_cpu": (talk.publish_ns / 1000 / seconds / len(talk.peers), "us/s")}
                 row |= {f"bytes_out_{kind.lower()}": (t.by_kind.get(kind, 0.0), "B/s")
                         for kind in ("Delta", "Digest", "Ping", "Ack", "Sync")}
                 found.setdefault(size, []).append(row)
         _note(result, "member", axis, found, held | {"task_s": task_s})
-    origins = {float(n): [float(digest_of(n))] for n in (3, 9, 18, 50, 100, 200)}
+    origins = {float(n): [float(digest_size(n))] for n in (3, 9, 18, 50, 100, 200)}
     result.sweep("member", "digest", "bytes", "origins", "hollow", origins)
 
 
@@ -161,14 +161,14 @@
     found: dict[float, list[Row]] = {}
     for size in (10, 20, 40, 80) if scope.small else (60, 250, 490, 1000):
         for seed in scope.seeds[:2]:
-            talk = Members(short_tasks(scope.shape(seed, schedulers=3, workers=size), task_s))
+            talk = Members(with_short_tasks(scope.shape(seed, schedulers=3, workers=size), task_s))
             talk.warm()
             talk.join(learn=True)
-            talk.window(1.0)
-            talk.taught_ns = talk.taught = 0
-            talk.window(seconds)
+            talk.measure(1.0)
+            talk.adopt_ns = talk.adopted = 0
+            talk.measure(seconds)
             found.setdefault(size, []).append({
-                "learning_cpu": (talk.taught_ns / 1000 / seconds / 3, "us/s"),
-                "takings": (talk.taught / seconds / 3, "1/s")})
+                "learning_cpu": (talk.adopt_ns / 1000 / seconds / 3, "us/s"),
+                "takings": (talk.adopted / seconds / 3, "1/s")})
     held = _sizes(scope.shape(schedulers=3), "workers") | {"task_s": task_s}
     _note(result, "member", "workers", found, held)
--- a/hazellead/lab/capacity/members.py
+++ b/hazellead/lab/capacity/members.py
@@ -1,14 +1,15 @@
-"""Members that talk, in virtual time: schedulers alone with their stand-ins, joined by a modelled network.
+"""Members of an installation that exchange facts over a modelled network, in virtual time.
 
-Each member is a real ``peers.Node``; what it tells is what its own scheduler's decisions have seen, by the
-same ``Pupil`` that a running program has. Messages are really encoded; bytes are counted with TLS's own.
+Each member is a real ``peers.Node`` with a ``SchedulerHarness``. It publishes what its own scheduler has
+learned through the same ``Pupil`` as in the running program. Messages are really encoded, and their bytes
+include the overhead of TLS.
 """
 
 from dataclasses import dataclass, replace
 from random import Random
 from time import thread_time_ns
 
-from hazellead.lab.capacity.alone import Alone, names_of
+from hazellead.lab.capacity.alone import SchedulerHarness, names_of
 from hazellead.lab.capacity.virtual_world import Shape
 from hazellead.lab.fleet import US
 from hazellead.lab.mesh import Mesh, MeshNetwork, Peer
@@ -20,30 +21,30 @@
 from hazellead.peers.messages import Digest, encode
 from hazellead.snapshots import format as snapshots
 
-TELL_US = US // 2  # as a running program tells and learns
+PUBLISH_INTERVAL_US = US // 2  # the interval of the running program
 
 
 @dataclass(slots=True, frozen=True)
 class Traffic:
-    """What members sent in a window, each on average a second; and the most that one sent."""
+    """Traffic sent in a window, a second: the mean over the members, and the most that one sent."""
 
     bytes_out: float
-    most_bytes_out: float
+    max_bytes_out: float
     messages_out: float
-    by_kind: dict[str, float]  # bytes
+    by_kind: dict[str, float]  # bytes by kind of message, mean
 
 
 class Members:
-    """As many members as the shape has schedulers, each with its part of the arrivals."""
+    """All members of an installation, one for each scheduler, with its share of the arrivals."""
 
     def __init__(self, shape: Shape, network: MeshNetwork | None = None) -> None:
-        """Set all up; nobody talks before ``join``."""
+        """Set up the members; they exchange messages only after ``join``."""
         self.shape, self.time = shape, VirtualTime()
         self.learning = LearningSettings(default_half_lives())
         self.mesh = Mesh(self.time, shape.seed, learning=self.learning, network=network)
-        self.alone = [Alone(shape, self.time, n) for n in range(shape.schedulers)]
-        self.pupils: list[Pupil] = []
-        self.taught_ns = self.taught = self.told_ns = 0
+        self.schedulers = [SchedulerHarness(shape, self.time, n) for n in range(shape.schedulers)]
+        self.syncs: list[Pupil] = []
+        self.adopt_ns = self.adopted = self.publish_ns = 0
 
     @property
     def peers(self) -> list[Peer]:
@@ -51,33 +52,37 @@
         return list(self.mesh.peers.values())
 
     def warm(self, seconds: float = 0.0) -> None:
-        """Let as many tasks run as will, or for so long, so that there are facts to be told."""
-        for one in self.alone:
-            one.come()
+        """Run the load until it is steady, or for ``seconds``, so that there are facts to publish."""
+        for harness in self.schedulers:
+            harness.start_arrivals()
         work = self.shape.work
         self.time.run_us(int((seconds or (1 + 1.2 * work.cv) * work.mean_s) * US))
 
     def join(self, *, learn: bool = False) -> None:
-        """Let them find each other and tell; ``learn``: and take over, whose processor time is counted."""
-        for one in self.alone:
-            name = f"n{one.number}"
+        """Let the members find each other and publish facts; ``learn``: also adopt those of others.
+
+        The processor time of both is counted, in ``publish_ns`` and ``adopt_ns``.
+        """
+        for harness in self.schedulers:
+            name = f"n{harness.number}"
             peer = self.mesh.add(name, list(self.mesh.peers))
-            pupil = Pupil(peer.node.knowledge, one.scheduler, Names(*names_of(self.shape)), self.learning)
-            self.pupils.append(pupil)
-            self.time.after(self.mesh.rng.random() * TELL_US, self._tell, pupil, learn)
+            sync = Pupil(
+                peer.node.knowledge, harness.scheduler, Names(*names_of(self.shape)), self.learning)
+            self.syncs.append(sync)
+            self.time.after(self.mesh.rng.random() * PUBLISH_INTERVAL_US, self._publish, sync, learn)
 
-    def _tell(self, pupil: Pupil, learn: bool) -> None:
+    def _publish(self, sync: Pupil, learn: bool) -> None:
         began = thread_time_ns()
-        pupil.tell(self.time.now_us())
-        told = thread_time_ns()
+        sync.tell(self.time.now_us())
+        published = thread_time_ns()
         if learn:
-            self.taught += pupil.learn(self.time.now_us())
-            self.taught_ns += thread_time_ns() - told
-        self.told_ns += told - began
-        self.time.after(TELL_US, self._tell, pupil, learn)
+            self.adopted += sync.learn(self.time.now_us())
+            self.adopt_ns += thread_time_ns() - published
+        self.publish_ns += published - began
+        self.time.after(PUBLISH_INTERVAL_US, self._publish, sync, learn)
 
-    def window(self, seconds: float) -> Traffic:
-        """Let time pass and count what was sent."""
+    def measure(self, seconds: float) -> Traffic:
+        """Run for a time and return the traffic sent."""
         before = {p.node.name: (p.sent_bytes, p.sent_messages, dict(p.by_kind)) for p in self.peers}
         self.time.run_us(int(seconds * US))
         count, kinds = len(before) * seconds, dict[str, float]()
@@ -90,52 +95,52 @@
                 kinds[kind] = kinds.get(kind, 0.0) + (n - old_kinds.get(kind, 0)) / count
         return Traffic(sum(sent) / count, max(sent) / seconds, messages / count, kinds)
 
-    def agree(self, most_s: float) -> float:
-        """Let time pass until every member counts all others as alive; return the seconds, or infinity."""
+    def seconds_to_agree(self, max_s: float) -> float:
+        """Run until every member sees all others as alive; return the seconds, infinity after ``max_s``."""
         began = self.time.now_us()
-        while self.time.now_us() - began < most_s * US:
+        while self.time.now_us() - began < max_s * US:
             if all(p.node.swim.size == len(self.peers) and not p.node.swim._suspected for p in self.peers):
                 return (self.time.now_us() - began) / US
             self.time.run_us(US // 10)
         return float("inf")
 
-    def know_alike(self, most_s: float) -> float:
-        """Let time pass until each knows every other's facts as far as they were told at the call.
+    def seconds_to_share_facts(self, max_s: float) -> float:
+        """Run until each member has all facts that any member had published when this was called.
 
-        Returns the seconds, or infinity.
+        Returns the seconds, infinity after ``max_s``.
         """
         began = self.time.now_us()
         known = [p.node.knowledge for p in self.peers]
-        told = {k.me: k.digest().get(k.me, 0) for k in known}
-        while self.time.now_us() - began < most_s * US:
+        published = {k.me: k.digest().get(k.me, 0) for k in known}
+        while self.time.now_us() - began < max_s * US:
             digests = [p.node.knowledge.digest() for p in self.peers]
-            if all(d.get(origin, 0) >= seq for d in digests for origin, seq in told.items()):
+            if all(d.get(origin, 0) >= seq for d in digests for origin, seq in published.items()):
                 return (self.time.now_us() - began) / US
             self.time.run_us(US // 10)
         return float("inf")
 
     def facts(self) -> float:
-        """Return how many facts a member holds, on average."""
+        """Return the mean number of facts that a member holds."""
         return sum(p.node.knowledge.count for p in self.peers) / len(self.peers)
 
     def digest_bytes(self) -> float:
-        """Return the size of a whole digest, on average."""
-        return sum(_digest(p) for p in self.peers) / len(self.peers)
+        """Return the mean size of a full digest in bytes."""
+        return sum(_digest_bytes(p) for p in self.peers) / len(self.peers)
 
     def snapshot_bytes(self) -> float:
-        """Return the size of a snapshot, on average."""
+        """Return the mean size of a snapshot in bytes."""
         return sum(len(snapshots.encode(snapshots.Snapshot(
             "capacity", p.node.name, self.time.now_us(), p.node.knowledge.everything())))
             for p in self.peers) / len(self.peers)
 
 
-def _digest(peer: Peer) -> int:
+def _digest_bytes(peer: Peer) -> int:
     rows = list(peer.node.knowledge.digest().items())
     return len(encode(Digest(peer.node.knowledge.fingerprint(), 0, rows)))
 
 
-def digest_of(origins: int) -> int:
-    """Return the bytes of a whole digest that names so many origins."""
+def digest_size(origins: int) -> int:
+    """Return the size in bytes of a full digest with this many origins."""
     knowledge = Knowledge(Origin("n0", 1), LearningSettings(default_half_lives()), Random(1))
     for n in range(origins):
         fact = Fact(int(Topic.FACTOR), "", 0, 1.0, 1.0, 1, 1)
@@ -143,9 +148,10 @@
     return len(encode(Digest(knowledge.fingerprint(), 2, list(knowledge.digest().items()))))
 
 
-def short_tasks(shape: Shape, task_s: float) -> Shape:
-    """Return a shape of shorter tasks with as many starts.
+def with_short_tasks(shape: Shape, task_s: float) -> Shape:
+    """Return the shape with shorter tasks and the same start rate.
 
-    What members tell follows starts and ends, which are as many; the plays until all runs are shorter.
+    What members publish depends on starts and ends, whose rates stay the same; the load becomes steady
+    sooner.
     """
     return replace(shape, work=replace(shape.work, mean_s=task_s))
--- a/tests/test_capacity_hollow.py
+++ b/tests/test_capacity_hollow.py
@@ -9,9 +9,9 @@
 from hazellead.decide import interface as api
 from hazellead.lab.capacity import hollow
 from hazellead.lab.capacity import hollow_runs as runs
-from hazellead.lab.capacity.alone import Alone, Cost, traced
+from hazellead.lab.capacity.alone import Cost, SchedulerHarness, trace_memory
 from hazellead.lab.capacity.hollow_scope import Scope
-from hazellead.lab.capacity.members import Members, digest_of
+from hazellead.lab.capacity.members import Members, digest_size
 from hazellead.lab.capacity.result import Figure, Result, Run
 from hazellead.lab.capacity.virtual_world import Gangs, Installation, Shape, shares
 from hazellead.lab.fleet import US, Work, WorkerSpec
@@ -35,9 +35,9 @@
 
 
 def window(shape: Shape, seconds: float = 20.0) -> Cost:
-    alone = Alone(shape)
+    alone = SchedulerHarness(shape)
     alone.ramp()
-    return alone.window(seconds)
+    return alone.measure(seconds)
 
 
 def counts(cost: Cost) -> tuple[Any, ...]:
@@ -143,18 +143,18 @@
 
 
 def test_a_scheduler_keeps_no_state_of_tasks_that_have_ended() -> None:
-    alone = Alone(replace(SMALL, gangs=Gangs(0.1, (4,)), starts=60.0))
-    alone.come()
+    alone = SchedulerHarness(replace(SMALL, gangs=Gangs(0.1, (4,)), starts=60.0))
+    alone.start_arrivals()
     alone.change_lists(60)
     alone.change_settings(30)
     alone.time.run_us(20 * US)
     assert len(alone.running) > 10 and alone.arrivals > 200
-    assert set(alone.empty().values()) == {0}
-    assert sum(alone.ends.values()) == alone.arrivals
+    assert set(alone.drain().values()) == {0}
+    assert sum(alone.outcomes.values()) == alone.arrivals
 
 
 def test_memory_after_all_has_ended_is_a_fixed_part_by_worker_and_remembered_task() -> None:
-    found = traced(replace(SMALL, starts=30.0, work=Work(4.0, 0.3, 0.0)))
+    found = trace_memory(replace(SMALL, starts=30.0, work=Work(4.0, 0.3, 0.0)))
     for idle, full, left in found.values():
         assert idle < left < full
         assert full - left > 100 * 30.0 * 4.0 / 3  # 40 running tasks of a few hundred bytes have gone
@@ -167,9 +167,9 @@
     def rest(count: int) -> Any:
         talk = Members(replace(SMALL, schedulers=count, starts=0.01 * count))
         talk.join()
-        talk.window(10)
-        assert talk.mesh.deaths == [] and talk.agree(1) == 0
-        return talk.window(20)
+        talk.measure(10)
+        assert talk.mesh.deaths == [] and talk.seconds_to_agree(1) == 0
+        return talk.measure(20)
 
     few, many = rest(3), rest(9)
     assert few == rest(3)
@@ -182,18 +182,18 @@
     talk = Members(replace(SMALL, schedulers=6, starts=1.0))
     talk.warm()
     talk.join()
-    assert talk.agree(10) < 5
+    assert talk.seconds_to_agree(10) < 5
     talk.mesh.part(["n0", "n1", "n2"])
-    talk.window(20)
+    talk.measure(20)
     assert {talk.mesh.peers["n0"].node.swim.size, talk.mesh.peers["n5"].node.swim.size} == {3}
     assert len(talk.mesh.deaths) == 18
     talk.mesh.heal()
-    assert talk.agree(60) < 30
-    assert talk.know_alike(20) < 10
+    assert talk.seconds_to_agree(60) < 30
+    assert talk.seconds_to_share_facts(20) < 10
 
 
 def test_a_digest_grows_by_a_bounded_number_of_bytes_an_origin() -> None:
-    sizes = [digest_of(n) for n in (10, 20, 40, 80)]
+    sizes = [digest_size(n) for n in (10, 20, 40, 80)]
     assert sizes == sorted(sizes)
     assert all(b - a <= 24 * n for a, b, n in zip(sizes, sizes[1:], (10, 20, 40), strict=False))
 
@@ -230,8 +230,8 @@
 
 
 def test_a_worker_that_is_told_to_drain_gets_nothing_new_while_its_list_changes_often() -> None:
-    alone = Alone(SMALL)
-    alone.come()
+    alone = SchedulerHarness(SMALL)
+    alone.start_arrivals()
     alone.time.run_us(5 * US)
     drained = api.WorkerEntry(3, 3, 0, phase=api.Phase.DRAINING)
     alone.scheduler.listed(api.WorkerList(api.ListKind.CHANGES, (drained,)))
