--- a/hazellead/lab/capacity/__init__.py
+++ b/hazellead/lab/capacity/__init__.py
@@ -1,1 +1,1 @@
-"""Capacity: scale tests of our own against the size that the users expect, and the page made from them."""
+"""Scale tests against the size that the users expect, and the capacity page rendered from their results."""
