--- a/hazellead/lab/capacity/page.py
+++ b/hazellead/lab/capacity/page.py
@@ -136,7 +136,7 @@
         "larger": table.larger_runs(result),
         "failures": failures.failures(result.runs),
         "ranked": ranking.rank(result),
-        "passed": ranking.passed(rows, result.runs),
+        "passed": ranking.exceeded_limits(rows, result.runs),
         "judge": table.judge_figure,
         "control": table.control(rows),
         "counted": table.tally([r.verdict for r in rows]),
--- a/hazellead/lab/capacity/plots.py
+++ b/hazellead/lab/capacity/plots.py
@@ -1,4 +1,4 @@
-"""Plots of the sweeps, the same bytes each time from the same result."""
+"""Draws the plots of the sweeps; equal results give identical files."""
 
 import io
 from itertools import groupby
@@ -10,7 +10,7 @@
 
 from hazellead.lab.capacity.table import QUANTITIES, Slope, limits, plot_groups
 
-# Ids and dates would differ from run to run, and fonts from machine to machine: text stays text.
+# Avoids random ids, dates and embedded fonts, which differ between runs and machines.
 _STYLE = {
     "svg.hashsalt": "capacity",
     "svg.fonttype": "none",
@@ -21,35 +21,37 @@
     "axes.axisbelow": True,
 }
 _NO_DATE = {"Date": None, "Creator": None}
-ACROSS = 3
-SEEN = 3.0  # times the largest value up to which a limit is drawn: beyond, the values would lie on the axis
-WIDE, HIGH = 2.6, 1.7  # inches of one panel
-LEFT, BESIDE, ABOVE, BELOW = 0.7, 0.15, 0.3, 0.5  # and of what is round it
+COLUMNS = 3
+# A limit above this multiple of the largest value is not drawn, as the values would be squeezed to the axis.
+MAX_LIMIT_RATIO = 3.0
+PANEL_WIDTH, PANEL_HEIGHT = 2.6, 1.7  # of one panel, in inches
+MARGIN_LEFT, MARGIN_RIGHT, MARGIN_TOP, MARGIN_BOTTOM = 0.7, 0.15, 0.3, 0.5  # around it, in inches
 
 
 def draw(slopes: list[Slope]) -> dict[str, bytes]:
-    """Return the plots' files."""
+    """Return the contents of the SVG files by name."""
     with matplotlib.style.context(["default", _STYLE]):
-        return {name: _plot(some) for name, some in plot_groups(slopes).items()}
+        return {name: _plot(plot_slopes) for name, plot_slopes in plot_groups(slopes).items()}
 
 
-def _plot(some: list[Slope]) -> bytes:
-    panels = [list(g) for _, g in groupby(some, lambda s: s.name)]
-    across = min(ACROSS, len(panels))
-    down = -(-len(panels) // across)
-    wide, high = across * (WIDE + LEFT), down * (HIGH + ABOVE + BELOW)  # inches
-    figure = Figure(figsize=(wide + BESIDE, high))
+def _plot(plot_slopes: list[Slope]) -> bytes:
+    panels = [list(g) for _, g in groupby(plot_slopes, lambda s: s.name)]
+    columns = min(COLUMNS, len(panels))
+    rows = -(-len(panels) // columns)
+    # In inches.
+    width, height = columns * (PANEL_WIDTH + MARGIN_LEFT), rows * (PANEL_HEIGHT + MARGIN_TOP + MARGIN_BOTTOM)
+    figure = Figure(figsize=(width + MARGIN_RIGHT, height))
     FigureCanvasSVG(figure)
-    # Margins are given: to fit them to the labels takes longer than all the rest.
+    # Margins are fixed, since fitting them to the labels would dominate the run time.
     figure.subplots_adjust(
-        left=LEFT / (wide + BESIDE),
-        right=wide / (wide + BESIDE),
-        bottom=BELOW / high,
-        top=1 - ABOVE / high,
-        wspace=LEFT / WIDE,
-        hspace=(ABOVE + BELOW) / HIGH,
+        left=MARGIN_LEFT / (width + MARGIN_RIGHT),
+        right=width / (width + MARGIN_RIGHT),
+        bottom=MARGIN_BOTTOM / height,
+        top=1 - MARGIN_TOP / height,
+        wspace=MARGIN_LEFT / PANEL_WIDTH,
+        hspace=(MARGIN_TOP + MARGIN_BOTTOM) / PANEL_HEIGHT,
     )
-    axes = list(figure.subplots(down, across, squeeze=False).flat)
+    axes = list(figure.subplots(rows, columns, squeeze=False).flat)
     for panel, slopes in zip(axes[: len(panels)], panels, strict=True):
         _panel(panel, slopes)
     for empty in axes[len(panels) :]:
@@ -89,7 +91,7 @@
     title = f"{title}, {slopes[0].unit}" if slopes[0].unit else title
     if (limit := limits().get((name.role, name.part, name.quantity))) is not None:
         values = [v * s.factor for s in slopes for p in s.sweep.points for v in p.values]
-        if limit <= SEEN * max(values, default=0.0):
+        if limit <= MAX_LIMIT_RATIO * max(values, default=0.0):
             panel.axhline(limit, color="C3", linewidth=0.8)
         else:
             title += f" (limit {limit:,.0f}: above)"
--- a/hazellead/lab/capacity/slopes.py
+++ b/hazellead/lab/capacity/slopes.py
@@ -1,7 +1,7 @@
-"""Straight lines through the sizes of a sweep, how far to trust them, and what they say elsewhere. Pure.
+"""Least-squares lines through the points of a sweep, with confidence intervals and a test of linearity.
 
-A line is called straight when it misses no size by much and a parabola is no better. Only straight lines are
-used away from the sizes that were measured.
+A line counts as straight if no size's mean is far off it and a parabola fits no better. Only straight lines
+are used for sizes that were not measured.
 """
 
 from collections.abc import Sequence
@@ -11,14 +11,14 @@
 
 from hazellead.lab.capacity.result import Point
 
-LEAST = 4  # sizes: with three a parabola meets every point, so that a bend could not be told from noise
-# Most that a size's mean may lie off the line, as a part of the line's largest value. The limits are asked
-# about at 1, 2 and 10 times a size; an error of a tenth moves none of these answers by a step, and processor
-# times of one machine scatter by some per cent from run to run.
-OFF = 0.1
-# Least gap between line and parabola within the sizes, as a part of the same, that counts as a bend: below
-# it a bend that is certain is still of no consequence there.
-BEND = 0.02
+MIN_SIZES = 4  # a parabola fits any three sizes exactly, so that a bend could not be told from noise
+# Largest residual of a size's mean, relative to the line's largest value. The limits are compared at 1, 2 and
+# 10 times a size; an error of a tenth moves none of these answers by a step, and processor times of one
+# machine scatter by some per cent from run to run.
+MAX_RESIDUAL = 0.1
+# Largest deviation between line and parabola within the sizes, relative to the same value. A smaller bend has
+# no consequence there, even where it is statistically certain.
+MAX_BEND = 0.02
 # Two-sided 95 % points of Student's t by degrees of freedom from 1 (NIST/SEMATECH e-Handbook, 1.3.6.7.2).
 _T95 = (
     12.706,
@@ -55,113 +55,115 @@
 
 
 class SlopeError(ValueError):
-    """No slope can be taken from these points; the message is one line."""
+    """The points do not allow a fit; the message is one line."""
 
 
-def t95(freedom: int) -> float:
-    """Return the two-sided 95 % point of Student's t; beyond 30 degrees that of 30, a little wide."""
-    return _T95[min(freedom, len(_T95)) - 1]
+def t95(degrees: int) -> float:
+    """Return the two-sided 95 % point of Student's t; beyond 30 degrees the slightly larger one of 30."""
+    return _T95[min(degrees, len(_T95)) - 1]
 
 
 @dataclass(slots=True, frozen=True)
 class Line:
-    """A least-squares line. Spreads are half the width of 95 % intervals."""
+    """A least-squares line. Spreads are half the width of 95 % confidence intervals."""
 
-    slope: float  # the quantity's unit for each unit of size
+    slope: float  # the quantity's unit per unit of size
     slope_spread: float
     intercept: float
     intercept_spread: float
-    r2: float  # part of the values' variance that the line explains; 1 where they do not vary
+    r2: float  # share of the variance that the line explains; 1 if the values do not vary
     sizes: tuple[float, ...]
-    means: tuple[float, ...]  # of the repeats at each size
-    residuals: tuple[float, ...]  # of the means
-    values: int
-    worst: float  # the largest residual, as a part of the line's largest value within the sizes
-    bend: float  # the largest gap between line and parabola there, as the same part; 0 where it may be noise
-    _error: float  # standard error of one value
-    _middle: float
-    _width: float  # sum of squared distances of all values' sizes from the middle
+    means: tuple[float, ...]  # of the repeats, for each size
+    residuals: tuple[float, ...]  # of the means, for each size
+    values: int  # number of values fitted
+    worst: float  # the largest residual, relative to the line's largest value within the sizes
+    bend: float  # the largest deviation from a parabola, relative to the same; 0 if it may be noise
+    _value_error: float  # standard error of one value
+    _mean_size: float
+    _sum_squares: float  # sum of squared deviations of the values' sizes from their mean
 
     @property
     def straight(self) -> bool:
-        """Say whether the line may be used beyond its sizes."""
-        return self.worst <= OFF and self.bend <= BEND
+        """Return whether the line may be used for sizes that were not measured."""
+        return self.worst <= MAX_RESIDUAL and self.bend <= MAX_BEND
 
     @property
-    def why(self) -> str:
-        """Say why it is not straight, or nothing."""
-        if self.bend > BEND:
+    def fault(self) -> str:
+        """Return why the line is not straight, an empty text if it is."""
+        if self.bend > MAX_BEND:
             return f"bent: a parabola parts from the line by {100 * self.bend:.0f} %"
         return "" if self.straight else f"scattered: a size lies {100 * self.worst:.0f} % off the line"
 
     def at(self, size: float) -> tuple[float, float]:
-        """Return the line's value at a size, and its spread there."""
-        if not self._width:
+        """Return the line's value at a size, and its spread."""
+        if not self._sum_squares:
             return self.intercept, 0.0
-        error = self._error * (1 / self.values + (size - self._middle) ** 2 / self._width) ** 0.5
+        error = (
+            self._value_error * (1 / self.values + (size - self._mean_size) ** 2 / self._sum_squares) ** 0.5
+        )
         return self.intercept + self.slope * size, t95(self.values - 2) * float(error)
 
-    def reaches(self, limit: float) -> float | None:
-        """Return the size at which the line passes a limit; None if it never does as sizes grow."""
+    def size_at_limit(self, limit: float) -> float | None:
+        """Return the size at which the line exceeds a limit; None if it never does for growing sizes."""
         if self.at(self.sizes[-1])[0] > limit and self.slope <= 0:
             return self.sizes[-1]
         return max(0.0, (limit - self.intercept) / self.slope) if self.slope > 0 else None
 
 
 def fit(points: Sequence[Point]) -> Line:
-    """Fit a line by least squares, every repeat counted alike; raises SlopeError below four sizes."""
-    kept = sorted((p for p in points if p.values), key=lambda p: p.size)
-    if len({p.size for p in kept}) < LEAST:
-        raise SlopeError(f"not a slope: {len({p.size for p in kept})} sizes, {LEAST} are needed")
-    x = np.array([p.size for p in kept for _ in p.values], dtype=float)
-    y = np.array([v for p in kept for v in p.values], dtype=float)
+    """Fit a line by least squares, with equal weights; raises SlopeError below ``MIN_SIZES`` sizes."""
+    measured = sorted((p for p in points if p.values), key=lambda p: p.size)
+    if len({p.size for p in measured}) < MIN_SIZES:
+        raise SlopeError(f"not a slope: {len({p.size for p in measured})} sizes, {MIN_SIZES} are needed")
+    x = np.array([p.size for p in measured for _ in p.values], dtype=float)
+    y = np.array([v for p in measured for v in p.values], dtype=float)
     if not (np.isfinite(x).all() and np.isfinite(y).all()):
         raise SlopeError("not a slope: a value is no finite number")
-    middle = float(x.mean())
-    width = float(((x - middle) ** 2).sum())
-    slope = float(((x - middle) * (y - y.mean())).sum()) / width
-    intercept = float(y.mean()) - slope * middle
-    off = y - (intercept + slope * x)
-    error = (float((off**2).sum()) / (len(y) - 2)) ** 0.5
+    mean_size = float(x.mean())
+    sum_squares = float(((x - mean_size) ** 2).sum())
+    slope = float(((x - mean_size) * (y - y.mean())).sum()) / sum_squares
+    intercept = float(y.mean()) - slope * mean_size
+    errors = y - (intercept + slope * x)
+    value_error = (float((errors**2).sum()) / (len(y) - 2)) ** 0.5
     total = float(((y - y.mean()) ** 2).sum())
     sizes = tuple(float(s) for s in np.unique(x))
     means = tuple(float(y[x == s].mean()) for s in sizes)
     residuals = tuple(m - (intercept + slope * s) for s, m in zip(sizes, means, strict=True))
     scale = max(abs(intercept + slope * s) for s in sizes)
-    spread = t95(len(y) - 2) * error / width**0.5
+    spread = t95(len(y) - 2) * value_error / sum_squares**0.5
     return Line(
         slope,
         spread,
         intercept,
-        t95(len(y) - 2) * error * (1 / len(y) + middle**2 / width) ** 0.5,
-        1.0 if total <= 1e-18 * float((y**2).sum()) else 1 - float((off**2).sum()) / total,
+        t95(len(y) - 2) * value_error * (1 / len(y) + mean_size**2 / sum_squares) ** 0.5,
+        1.0 if total <= 1e-18 * float((y**2).sum()) else 1 - float((errors**2).sum()) / total,
         sizes,
         means,
         residuals,
         len(y),
-        _part(max(map(abs, residuals)), scale),
-        _part(_bend(x, y, sizes, intercept, slope), scale),
-        error,
-        middle,
-        width,
+        _relative(max(map(abs, residuals)), scale),
+        _relative(_bend(x, y, sizes, intercept, slope), scale),
+        value_error,
+        mean_size,
+        sum_squares,
     )
 
 
-def _part(gap: float, scale: float) -> float:
-    return gap / scale if gap > 1e-9 * scale else 0.0
+def _relative(deviation: float, scale: float) -> float:
+    return deviation / scale if deviation > 1e-9 * scale else 0.0
 
 
 def _bend(x: np.ndarray, y: np.ndarray, sizes: Sequence[float], intercept: float, slope: float) -> float:
-    """Return the largest gap between parabola and line at the sizes; 0 if its square term may be none."""
-    middle, half = (sizes[0] + sizes[-1]) / 2, (sizes[-1] - sizes[0]) / 2
-    u = (x - middle) / half  # within -1 and 1, so that large sizes cost no digits
+    """Return the largest deviation of a parabola from the line; 0 if its square term is not significant."""
+    midpoint, half = (sizes[0] + sizes[-1]) / 2, (sizes[-1] - sizes[0]) / 2
+    u = (x - midpoint) / half  # scaled to -1..1 to keep the least-squares problem well conditioned
     design = np.stack([np.ones_like(u), u, u**2], axis=1)
-    found, *_ = np.linalg.lstsq(design, y, rcond=None)
-    off = y - design @ found
-    freedom = len(y) - 3
-    covariance = np.linalg.inv(design.T @ design) * (float((off**2).sum()) / freedom)
-    if abs(float(found[2])) <= t95(freedom) * float(covariance[2, 2]) ** 0.5:
+    parabola, *_ = np.linalg.lstsq(design, y, rcond=None)
+    errors = y - design @ parabola
+    degrees = len(y) - 3
+    covariance = np.linalg.inv(design.T @ design) * (float((errors**2).sum()) / degrees)
+    if abs(float(parabola[2])) <= t95(degrees) * float(covariance[2, 2]) ** 0.5:
         return 0.0
     line = intercept + slope * np.array(sizes)
-    places = (np.array(sizes) - middle) / half
-    return float(np.abs(found[0] + found[1] * places + found[2] * places**2 - line).max())
+    scaled = (np.array(sizes) - midpoint) / half
+    return float(np.abs(parabola[0] + parabola[1] * scaled + parabola[2] * scaled**2 - line).max())
--- a/hazellead/lab/capacity/table.py
+++ b/hazellead/lab/capacity/table.py
@@ -1,4 +1,4 @@
-"""What the page's tables say of a result: each role's quantities at the target's size, with limits. Pure."""
+"""Computes the page's tables from a result: each role's quantities at the target's size, with limits."""
 
 import re
 from collections.abc import Iterable
@@ -10,10 +10,10 @@
 from hazellead.lab.capacity.slopes import Line, SlopeError, fit
 from hazellead.lab.capacity.target import TARGET, Target
 
-CLOSE = 0.05  # part of a size by which a run may miss the target's and still count as being there
+SIZE_TOLERANCE = 0.05  # relative difference up to which a size counts as the target's
 MULTIPLES = (2.0, 10.0)
 
-QUANTITIES = {  # in the tables' order: name on the page, unit
+QUANTITIES = {  # in the order of the tables: name on the page, unit
     "state": ("state", ""),
     "state_bytes": ("state, bytes", "B"),
     "messages": ("messages, both ways", "1/s"),
@@ -27,8 +27,8 @@
     "descriptors": ("descriptors", ""),
     "in_force": ("change in force everywhere", "s"),
 }
-# Units that say the same in other sizes: into the unit of the quantity, times this.
-_SAME = {
+# Factors from a unit of a result to the unit of the quantity on the page.
+_UNIT_FACTORS = {
     ("ms/s", "µs/s"): 1e3,
     ("us/s", "µs/s"): 1.0,
     ("%", "µs/s"): 1e4,
@@ -54,7 +54,7 @@
 
 
 class Verdict(Enum):
-    """What can be said of a figure and its limit."""
+    """The comparison of a figure with its limit."""
 
     HOLDS = "holds"
     FAILS = "**fails**"
@@ -64,18 +64,18 @@
 
 @dataclass(slots=True, frozen=True)
 class Part:
-    """One role, or a part of it, with what is asked of it and the mechanism that carries it."""
+    """One role or a part of it, with the quantities to measure and the modules that implement it."""
 
     role: str
     part: str  # empty: the role as a whole
     title: str
     mechanism: str
     quantities: tuple[str, ...]
-    tags: tuple[str, ...] = ()  # words in a sweep's names that mean this part
+    tags: tuple[str, ...] = ()  # words in a sweep's role or quantity that denote this part
 
 
-_FLOW = ("messages_in", "messages_out", "bytes_in", "bytes_out")
-PROGRESS = "with progress"  # the whole, while every worker tells each running task's progress once a second
+_TRAFFIC = ("messages_in", "messages_out", "bytes_in", "bytes_out")
+PROGRESS = "with progress"  # the whole, while workers report each running task's progress every second
 PARTS = (
     Part(
         "scheduler",
@@ -105,7 +105,7 @@
         "clients",
         "Scheduler: client side",
         "`platform/clients.py`, `net/server.py`",
-        _FLOW,
+        _TRAFFIC,
         ("clients", "client", "request"),
     ),
     Part(
@@ -113,7 +113,7 @@
         "workers",
         "Scheduler: worker side, pushes",
         "`platform/workers.py`, `net/client.py`",
-        _FLOW,
+        _TRAFFIC,
         ("workers", "worker", "pushes", "push", "probe", "delete"),
     ),
     Part(
@@ -121,7 +121,7 @@
         "callbacks",
         "Scheduler: worker side, call-backs of starts and ends",
         "`platform/clients.py`, `core/scheduler.py`",
-        _FLOW,
+        _TRAFFIC,
         ("callbacks", "callback", "started", "done", "returned", "failed", "lost"),
     ),
     Part(
@@ -129,7 +129,7 @@
         "progress",
         "Scheduler: worker side, call-backs of progress",
         "`platform/clients.py`, `core/scheduler.py`",
-        _FLOW,
+        _TRAFFIC,
         ("progress", "running"),
     ),
     Part(
@@ -137,10 +137,10 @@
         "watch",
         "Scheduler: discovery watch",
         "`platform/discovery.py`",
-        ("state", *_FLOW),
+        ("state", *_TRAFFIC),
         ("watch", "discovery"),
     ),
-    Part("scheduler", "console", "Scheduler: console", "`console/`", _FLOW, ("console",)),
+    Part("scheduler", "console", "Scheduler: console", "`console/`", _TRAFFIC, ("console",)),
     Part(
         "scheduler",
         "control",
@@ -161,7 +161,7 @@
         "",
         "Member of an installation that talks",
         "`peers/`, `learning/`, `snapshots/`",
-        ("state", "state_bytes", *_FLOW, "memory", "descriptors"),
+        ("state", "state_bytes", *_TRAFFIC, "memory", "descriptors"),
     ),
     Part("member", "telling", "Member: telling facts", "`learning/pupil.py`, `learning/store.py`", ("cpu",)),
     Part(
@@ -176,14 +176,14 @@
         "",
         "Discovery",
         "outside; asked by `platform/discovery.py`",
-        ("state", *_FLOW, "cpu", "memory", "descriptors"),
+        ("state", *_TRAFFIC, "cpu", "memory", "descriptors"),
     ),
     Part(
         "worker",
         "",
         "Worker",
         "outside; called by `platform/workers.py`",
-        ("state", *_FLOW, "cpu", "memory", "descriptors"),
+        ("state", *_TRAFFIC, "cpu", "memory", "descriptors"),
     ),
     Part(
         "configuration",
@@ -193,8 +193,8 @@
         ("state", "state_bytes", "messages_in", "bytes_in", "cpu", "memory", "in_force"),
     ),
 )
-# What figures of a real run at the target are called, beside KIND_in, KIND_out and the same with _bytes.
-_PLAIN = {
+# Part and quantity of a target run's figures, besides KIND_in and KIND_out, with or without _bytes.
+_FIGURE_NAMES = {
     "cpu": ("", "cpu"),
     "memory": ("", "memory"),
     "descriptors": ("", "descriptors"),
@@ -206,7 +206,7 @@
 
 
 def limits(target: Target = TARGET) -> dict[tuple[str, str, str], float]:
-    """Return the users' limits, in the unit of each quantity; the descriptors are the platform's."""
+    """Return the users' limits in the unit of each quantity; the limit on descriptors is the platform's."""
     whole = {
         ("scheduler", part, quantity): limit
         for part in ("", PROGRESS)
@@ -223,7 +223,7 @@
         ("member", "telling", "cpu"): target.core_share * 1e6,
         ("member", "learning", "cpu"): target.core_share * 1e6,
         ("member", "", "memory"): target.memory_mb,
-        # What all members say, all members hear: both ways together are twice what one says on average.
+        # Members receive what members send, so a member's traffic is on average twice what it sends.
         ("member", "", "bytes_out"): target.traffic_b / 2,
         ("configuration", "", "in_force"): target.in_force_s,
     }
@@ -231,17 +231,17 @@
 
 @dataclass(slots=True, frozen=True)
 class Name:
-    """Whose figure it is, and of what."""
+    """The role, its part and the quantity that a figure measures."""
 
     role: str
     part: str
     quantity: str
 
 
-def name_of(role: str, quantity: str, unit: str = "") -> Name:
-    """Find role, part and quantity in the words of both; words of no known part make a part of their own."""
-    if (role, quantity, unit) in _SWEPT:
-        return _SWEPT[role, quantity, unit]
+def parse_name(role: str, quantity: str, unit: str = "") -> Name:
+    """Parse a sweep's role and quantity into role, part and quantity; unknown words become a part."""
+    if (role, quantity, unit) in _SWEEP_NAMES:
+        return _SWEEP_NAMES[role, quantity, unit]
     words = [w for w in re.split(r"[\s./:]+", f"{role} {quantity}") if w]
     head, rest = words[0], words[1:]
     known = next((w for w in rest if w in QUANTITIES), "")
@@ -254,17 +254,17 @@
     return Name(head, " ".join(others), known)
 
 
-def in_unit(quantity: str, value: float, unit: str) -> tuple[float, str]:
-    """Return a value in the unit that its quantity has on the page; other units stay as they are."""
-    wanted = QUANTITIES.get(quantity, ("", ""))[1]
-    factor = _SAME.get((unit, wanted))
-    return (value * factor, wanted) if factor is not None else (value, unit)
+def convert(quantity: str, value: float, unit: str) -> tuple[float, str]:
+    """Convert a value to the unit of its quantity on the page; values in unknown units are unchanged."""
+    expected = QUANTITIES.get(quantity, ("", ""))[1]
+    factor = _UNIT_FACTORS.get((unit, expected))
+    return (value * factor, expected) if factor is not None else (value, unit)
 
 
 def target_size(axis: str, held: dict[str, float], target: Target = TARGET) -> float | None:
-    """Return the target's size on an axis; None where it names none.
+    """Return the target's size on an axis, None if the target has none.
 
-    Where fewer schedulers are played than the target has, they are given their part of what runs and starts.
+    With fewer schedulers than the target's, running tasks and starts are scaled to their share.
     """
     sizes = {
         "workers": target.workers,
@@ -274,7 +274,7 @@
         "schedulers": target.schedulers,
         "members": target.schedulers,
         "origins": target.schedulers,
-        "changes": target.changes_a_day / 1440,  # a minute
+        "changes": target.changes_a_day / 1440,  # per minute
         "gang": target.gang,
     }
     if axis not in sizes:
@@ -283,29 +283,33 @@
     return sizes[axis] * (part if axis in ("running", "starts") else 1.0)
 
 
-def at_target(sizes: dict[str, float], but: str = "", target: Target = TARGET) -> bool:
-    """Say whether all sizes that the target names are its own, one axis left aside."""
-    wanted = {axis: target_size(axis, sizes, target) for axis in sizes if axis not in (but, "gang")}
-    return all(size is None or abs(sizes[axis] - size) <= CLOSE * size for axis, size in wanted.items())
+def is_at_target(sizes: dict[str, float], ignored_axis: str = "", target: Target = TARGET) -> bool:
+    """Return whether all sizes are the target's, except on ``ignored_axis`` and on axes that it lacks."""
+    expected = {
+        axis: target_size(axis, sizes, target) for axis in sizes if axis not in (ignored_axis, "gang")
+    }
+    return all(
+        size is None or abs(sizes[axis] - size) <= SIZE_TOLERANCE * size for axis, size in expected.items()
+    )
 
 
 @dataclass(slots=True, frozen=True)
 class Slope:
-    """One sweep and the line through it, or why there is none."""
+    """One sweep and the line fitted to it, or why there is none."""
 
     name: Name
     sweep: Sweep
     unit: str
-    factor: float  # of the sweep's own values into that unit
+    factor: float  # from the sweep's values to ``unit``
     line: Line | None
-    fault: str  # why there is no line, or why it isn't straight
-    size: float | None  # the target's
-    there: bool  # the others are held at the target's sizes
+    fault: str  # why there is no line, or why it is not straight
+    size: float | None  # the target's on this axis
+    there: bool  # whether the constant sizes are the target's
 
     def at(self, multiple: float) -> tuple[float, float] | None:
         """Return the line's value and spread at a multiple of the target's size.
 
-        None if the line can't be used, or not so far away: no quantity is less than nothing.
+        None if the line is not straight, there is no target size, or the value would be negative.
         """
         if self.line is None or not self.line.straight or self.size is None:
             return None
@@ -313,35 +317,37 @@
         return found if found[0] >= 0 else None
 
     def measured(self) -> list[float] | None:
-        """Return what was measured at the target's size itself, if it is one of the sizes."""
+        """Return the values measured at the target's size, None if the sweep lacks that size."""
         for point in self.sweep.points:
-            if self.size and point.values and abs(point.size - self.size) <= CLOSE * self.size:
+            if self.size and point.values and abs(point.size - self.size) <= SIZE_TOLERANCE * self.size:
                 return [v * self.factor for v in point.values]
         return None
 
 
 def slopes(result: Result) -> list[Slope]:
-    """Fit every sweep, in the tables' order."""
+    """Fit a line to every sweep; the order is that of the tables."""
     found = []
     for sweep in result.sweeps:
-        name = name_of(sweep.role, sweep.quantity, sweep.unit)
-        factor, unit = in_unit(name.quantity, 1.0, sweep.unit)
+        name = parse_name(sweep.role, sweep.quantity, sweep.unit)
+        factor, unit = convert(name.quantity, 1.0, sweep.unit)
         line, fault = None, ""
         try:
             points = [type(p)(p.size, [v * factor for v in p.values]) for p in sweep.points]
             line = fit(points)
-            fault = line.why
+            fault = line.fault
         except SlopeError as error:
             fault = str(error)
         size = target_size(sweep.axis, sweep.held)
-        found.append(Slope(name, sweep, unit, factor, line, fault, size, at_target(sweep.held, sweep.axis)))
+        found.append(
+            Slope(name, sweep, unit, factor, line, fault, size, is_at_target(sweep.held, sweep.axis))
+        )
     return sorted(
-        found, key=lambda s: (_order(s.name), s.sweep.axis, s.sweep.source, sorted(s.sweep.held.items()))
+        found, key=lambda s: (_sort_key(s.name), s.sweep.axis, s.sweep.source, sorted(s.sweep.held.items()))
     )
 
 
 def plot_groups(slopes: list[Slope]) -> dict[str, list[Slope]]:
-    """Return the sweeps of each plot, by file name: one role along one axis, the table's quantities."""
+    """Group the sweeps of the tables' quantities by plot file name, one plot for each role and axis."""
 
     known = [s for s in slopes if s.name.quantity in QUANTITIES]
 
@@ -349,12 +355,12 @@
         return s.name.role, s.sweep.axis
 
     return {
-        re.sub(r"[^a-z0-9]+", "-", f"{role} {axis}".lower()).strip("-") + ".svg": list(some)
-        for (role, axis), some in groupby(sorted(known, key=key), key)
+        re.sub(r"[^a-z0-9]+", "-", f"{role} {axis}".lower()).strip("-") + ".svg": list(group)
+        for (role, axis), group in groupby(sorted(known, key=key), key)
     }
 
 
-def _order(name: Name) -> tuple[int, str, int, str]:
+def _sort_key(name: Name) -> tuple[int, str, int, str]:
     parts = [(p.role, p.part) for p in PARTS]
     roles = [p.role for p in PARTS]
     at = (
@@ -381,7 +387,7 @@
     value: float | None
     spread: float | None
     unit: str
-    source: str  # where the value is from
+    source: str  # the run or line that the value is from
     limit: float | None
     verdict: Verdict
     slopes: list[Slope] = field(default_factory=list)
@@ -389,12 +395,12 @@
 
     @property
     def what(self) -> str:
-        """Name the quantity."""
+        """Return the name of the quantity on the page."""
         return QUANTITIES.get(self.name.quantity, (self.name.quantity, ""))[0]
 
 
 def judge(value: float | None, limit: float | None) -> Verdict:
-    """Hold a value to its limit; it holds when it is at most that."""
+    """Compare a value with its limit; it holds if it is at most the limit."""
     if value is None:
         return Verdict.NOT_MEASURED
     if limit is None:
@@ -403,13 +409,13 @@
 
 
 def judge_figure(figure: Figure) -> Verdict:
-    """Hold a run's figure to its own bound."""
+    """Compare a run's figure with its own limit."""
     return judge(figure.value, figure.limit)
 
 
-# What sweeps in virtual time are of. Their memory is traced, of a scheduler's state alone; what changes of
-# the list cost a scheduler is no figure of discovery itself.
-_SWEPT = {
+# Names of the sweeps in virtual time. Their memory is traced and covers a scheduler's state only; the cost of
+# list changes to a scheduler is not a figure of discovery.
+_SWEEP_NAMES = {
     ("scheduler", "decisions_cpu", "us/s"): Name("scheduler", "decisions", "cpu"),
     ("scheduler", "memory", "bytes"): Name("scheduler", "decisions", "state_bytes"),
     ("scheduler", "control", "B/s"): Name("scheduler", "control", "bytes"),
@@ -419,69 +425,69 @@
     ("member", "facts", "facts"): Name("member", "", "state"),
     ("member", "snapshot", "bytes"): Name("member", "", "state_bytes"),
 }
-# Axes along which a line leads to the target, the first first. Along others more than the one size grows:
-# what runs grows with the gangs' width, too.
-_LEADING = ("workers", "running", "starts", "tenants", "schedulers", "members", "changes")
+# Axes whose lines may give the value at the target, in order of preference. Along the others several sizes
+# grow together: the running tasks also grow with the gangs' width.
+_TARGET_AXES = ("workers", "running", "starts", "tenants", "schedulers", "members", "changes")
 
 
 def figure_name(run: Run, key: str) -> Name | None:
-    """Say what a figure of a run at the target is of; None where it is none of the table's quantities."""
+    """Return what a figure of a target run measures; None if it is not in the tables."""
     if run.name == "changes":
         in_force = key in ("settings_in_force_most", "list_in_force_most")
         return Name("configuration", "", "in_force") if in_force else None
     progress = "progress" in run.name
-    if key in _PLAIN:
-        part, quantity = _PLAIN[key]
+    if key in _FIGURE_NAMES:
+        part, quantity = _FIGURE_NAMES[key]
         return Name("scheduler", ", ".join(w for w in (part, PROGRESS if progress else "") if w), quantity)
     if kind := re.fullmatch(r"([a-z]+)_(in|out)(_bytes)?", key):
         quantity = f"{'bytes' if kind[3] else 'messages'}_{kind[2]}"
         for p in PARTS:
             if p.role == "scheduler" and p.part != PROGRESS and kind[1] in p.tags:
-                # Progress is told in the one run only; the others come from the run without it.
+                # Progress call-backs come from the run with progress, other messages from the run without.
                 return Name("scheduler", p.part, quantity) if progress == (p.part == "progress") else None
         return None
-    name = name_of(key, "")
+    name = parse_name(key, "")
     return name if name.quantity in QUANTITIES and name.role in {p.role for p in PARTS} else None
 
 
 def source_of(run: Run) -> str:
-    """Name a run as the source of a row."""
+    """Return the name of a run as the source of a row."""
     return f"run `{run.name}`, {run.source}"
 
 
 def target_figures(result: Result) -> dict[Name, tuple[Figure, Run]]:
-    """Return the figures of runs at the target's size by name; the real before the hollow, the earlier first.
+    """Return the figures of runs at the target's size by name; real runs and earlier runs take precedence.
 
-    Kinds of message that belong to one part are added up; of kinds of change the slowest counts.
+    Kinds of message that belong to the same part are summed; of the kinds of change the slowest counts.
     """
     found: dict[Name, tuple[Figure, Run]] = {}
     for run in sorted(result.runs, key=lambda r: r.source != "real"):
-        # The run of changes has them faster than a day at the target brings them; all else is at its size.
+        # The run "changes" makes changes faster than the target has them; its other sizes count.
         sizes = {k: v for k, v in run.sizes.items() if (run.name, k) != ("changes", "changes")}
         if (
             not re.match("target|changes$", run.name)
             or not {"workers", "running"} <= set(sizes)
-            or not at_target(sizes)
+            or not is_at_target(sizes)
         ):
             continue
         for key, figure in run.figures.items():
             if (name := figure_name(run, key)) is None:
                 continue
-            held = found.setdefault(name, (figure, run))
-            if held[1] is run and held[0] is not figure and held[0].unit == figure.unit:
-                both = (held[0].value, figure.value)
+            known = found.setdefault(name, (figure, run))
+            if known[1] is run and known[0] is not figure and known[0].unit == figure.unit:
+                both = (known[0].value, figure.value)
                 value = max(both) if name.quantity == "in_force" else sum(both)
-                found[name] = (Figure(value, figure.unit, held[0].limit, held[0].note), run)
+                found[name] = (Figure(value, figure.unit, known[0].limit, known[0].note), run)
     return found
 
 
 def rows(result: Result) -> list[Row]:
-    """Return the table: every row that is asked for, and one for whatever else there is."""
-    played, fitted, bounds = target_figures(result), slopes(result), limits()
+    """Return the rows of the table: all expected ones, and one for each further quantity in the result."""
+    target_runs, fitted, known_limits = target_figures(result), slopes(result), limits()
     names = {Name(p.role, p.part, q) for p in PARTS for q in p.quantities}
-    names |= set(played) | {s.name for s in fitted if s.name.quantity in QUANTITIES}
+    names |= set(target_runs) | {s.name for s in fitted if s.name.quantity in QUANTITIES}
     found = []
-    for name in sorted(names, key=_order):
+    for name in sorted(names, key=_sort_key):
         part = next(
             (p for p in PARTS if (p.role, p.part) == (name.role, name.part)),
             next((p for p in PARTS if p.role == name.role), None),
@@ -489,11 +495,11 @@
         title = part.title if part else name.role
         if part and part.part != name.part:
             title = f"{title.partition(':')[0].partition(',')[0]}: {name.part}"
-        mine = [s for s in fitted if s.name == name]
-        value, spread, unit, source, note = _at_target(name, played, mine)
-        limit = bounds.get((name.role, name.part, name.quantity))
-        if name in played and played[name][0].limit is not None:
-            limit = in_unit(name.quantity, played[name][0].limit or 0.0, played[name][0].unit)[0]
+        own_slopes = [s for s in fitted if s.name == name]
+        value, spread, unit, source, note = _at_target(name, target_runs, own_slopes)
+        limit = known_limits.get((name.role, name.part, name.quantity))
+        if name in target_runs and target_runs[name][0].limit is not None:
+            limit = convert(name.quantity, target_runs[name][0].limit or 0.0, target_runs[name][0].unit)[0]
         found.append(
             Row(
                 name,
@@ -505,7 +511,7 @@
                 source,
                 limit,
                 judge(value, limit),
-                mine,
+                own_slopes,
                 note,
             )
         )
@@ -513,31 +519,33 @@
 
 
 def _at_target(
-    name: Name, played: dict[Name, tuple[Figure, Run]], mine: list[Slope]
+    name: Name, target_runs: dict[Name, tuple[Figure, Run]], own_slopes: list[Slope]
 ) -> tuple[float | None, float | None, str, str, str]:
-    """Return value, spread, unit, source, note: of the run at the target, or of a line that leads there."""
-    if name in played:
-        figure, run = played[name]
-        value, unit = in_unit(name.quantity, figure.value, figure.unit)
-        # A note may have figures of its own, in the unit that the run tells.
+    """Return value, spread, unit, source and note from the target run, or else from a sweep."""
+    if name in target_runs:
+        figure, run = target_runs[name]
+        value, unit = convert(name.quantity, figure.value, figure.unit)
+        # Numbers in a note are in the run's unit, so the note is dropped if the unit changes.
         note = figure.note if unit == figure.unit or not unit else ""
         return value, None, unit, source_of(run), note
-    leading = [s for s in mine if s.there and s.sweep.axis in _LEADING]
-    for slope in sorted(leading, key=lambda s: (s.sweep.source != "real", _LEADING.index(s.sweep.axis))):
-        if (there := slope.at(1.0)) is not None:
-            return *there, slope.unit, f"line along {slope.sweep.axis}, {slope.sweep.source}", ""
-    for slope in leading:
+    target_slopes = [s for s in own_slopes if s.there and s.sweep.axis in _TARGET_AXES]
+    for slope in sorted(
+        target_slopes, key=lambda s: (s.sweep.source != "real", _TARGET_AXES.index(s.sweep.axis))
+    ):
+        if (estimate := slope.at(1.0)) is not None:
+            return *estimate, slope.unit, f"line along {slope.sweep.axis}, {slope.sweep.source}", ""
+    for slope in target_slopes:
         if (values := slope.measured()) is not None:
             low, high = min(values), max(values)
             source = f"the target's size itself, along {slope.sweep.axis}, {slope.sweep.source}"
             return sum(values) / len(values), (high - low) / 2, slope.unit, source, slope.fault
     unit = QUANTITIES.get(name.quantity, ("", ""))[1]
-    return None, None, unit, "", "only with others held elsewhere" if mine else ""
+    return None, None, unit, "", "only with others held elsewhere" if own_slopes else ""
 
 
 @dataclass(slots=True, frozen=True)
 class Break:
-    """Where a limit is passed as one axis grows from the target's size."""
+    """The size at which a limit is exceeded as one axis grows from the target's size."""
 
     name: Name
     axis: str
@@ -545,18 +553,18 @@
     limit: float
     unit: str
     values: tuple[float | None, ...]  # at the target and its multiples
-    factor: float | None  # of the target's size at which the limit is passed; None: never as it grows
-    there: bool
+    factor: float | None  # limit size / target size; None if growth never exceeds the limit
+    there: bool  # whether the constant sizes are the target's
 
 
 def breaks(result: Result) -> list[Break]:
-    """Return what has a limit and a straight line, the one that is passed first first."""
-    bounds, found = limits(), []
+    """Return a Break for each straight line with a limit, the one that is exceeded first first."""
+    known_limits, found = limits(), []
     for s in slopes(result):
-        limit = bounds.get((s.name.role, s.name.part, s.name.quantity))
+        limit = known_limits.get((s.name.role, s.name.part, s.name.quantity))
         if limit is None or s.line is None or not s.size or not s.line.straight:
             continue
-        reached = s.line.reaches(limit)
+        limit_size = s.line.size_at_limit(limit)
         values = tuple(at and at[0] for at in map(s.at, (1.0, *MULTIPLES)))
         found.append(
             Break(
@@ -566,28 +574,28 @@
                 limit,
                 s.unit,
                 values,
-                None if reached is None else reached / s.size,
+                None if limit_size is None else limit_size / s.size,
                 s.there,
             )
         )
-    return sorted(found, key=lambda b: (b.factor is None, b.factor or 0.0, _order(b.name), b.axis))
+    return sorted(found, key=lambda b: (b.factor is None, b.factor or 0.0, _sort_key(b.name), b.axis))
 
 
 def larger_runs(result: Result) -> list[tuple[Run, str, Figure, Verdict]]:
-    """Return the figures with a limit of the runs beyond the target's workers, running tasks or starts."""
+    """Return the limited figures of all runs that exceed the target's workers, running tasks or starts."""
     found = []
     for run in result.runs:
         sizes = (
             (run.sizes.get(axis, 0.0), target_size(axis, {})) for axis in ("workers", "running", "starts")
         )
-        if any(size > 1.5 * (wanted or 0.0) for size, wanted in sizes):
+        if any(size > 1.5 * (expected or 0.0) for size, expected in sizes):
             found += [(run, k, f, judge_figure(f)) for k, f in run.figures.items() if f.limit is not None]
     return found
 
 
 @dataclass(slots=True, frozen=True)
 class Pair:
-    """A figure that a real and a hollow run of one name and size both have."""
+    """A figure in both the real and the hollow run of the same name and size."""
 
     run: str
     key: str
@@ -597,28 +605,28 @@
 
     @property
     def apart(self) -> float:
-        """Return by what part of the larger of both the hollow one is above the real one."""
-        most = max(abs(self.real), abs(self.hollow))
-        return (self.hollow - self.real) / most if most else 0.0
+        """Return hollow minus real, relative to the larger magnitude; 0 if both are 0."""
+        larger = max(abs(self.real), abs(self.hollow))
+        return (self.hollow - self.real) / larger if larger else 0.0
 
 
 def pairs(result: Result) -> list[Pair]:
-    """Return what can be compared: runs of one name whose workers, schedulers and starts are alike."""
+    """Return the common figures of runs with the same name, workers, schedulers and starts."""
     found = []
     for real in (r for r in result.runs if r.source == "real"):
         for hollow in (r for r in result.runs if r.source == "hollow" and r.name == real.name):
             sizes = [(real.sizes.get(k), hollow.sizes.get(k)) for k in ("workers", "schedulers", "starts")]
-            if any(a is None or b is None or abs(a - b) > CLOSE * max(a, b) for a, b in sizes):
+            if any(a is None or b is None or abs(a - b) > SIZE_TOLERANCE * max(a, b) for a, b in sizes):
                 continue
             for key, figure in real.figures.items():
                 if key in hollow.figures:
                     found.append(Pair(real.name, key, figure.unit, figure.value, hollow.figures[key].value))
-            break  # of several seeds the first
+            break  # only the first of several seeds
     return found
 
 
 def tally(verdicts: Iterable[Verdict]) -> dict[Verdict, int]:
-    """Count verdicts."""
+    """Count the verdicts by kind."""
     counts = dict.fromkeys(Verdict, 0)
     for verdict in verdicts:
         counts[verdict] += 1
@@ -627,7 +635,7 @@
 
 @dataclass(slots=True, frozen=True)
 class Traffic:
-    """Bytes a second, both ways, by one reading of what counts as control; None where not measured."""
+    """Bytes a second in both directions under one definition of control; None if not measured."""
 
     reading: str
     value: float | None
@@ -635,23 +643,23 @@
 
     @property
     def verdict(self) -> Verdict:
-        """Hold it to the limit."""
+        """Compare the traffic with the limit."""
         return judge(self.value, self.limit)
 
 
 def control(rows: Iterable[Row], target: Target = TARGET) -> list[Traffic]:
-    """Return a scheduler's traffic by each reading of what counts as control; CAPACITY.md has the reasons."""
+    """Return a scheduler's traffic under each definition of control, which CAPACITY.md explains."""
     known = {r.name: r.value for r in rows}
 
     def value(part: str, quantity: str = "bytes") -> float | None:
         return known.get(Name("scheduler", part, quantity))
 
-    narrow = [value(part, q) for part in ("watch", "console") for q in ("bytes_in", "bytes_out")]
-    watched = [v for v in narrow if v is not None]
+    narrow_rates = [value(part, q) for part in ("watch", "console") for q in ("bytes_in", "bytes_out")]
+    measured = [v for v in narrow_rates if v is not None]
     readings = (
         ("all but what carries work", value("control")),
         ("the same, progress told once a second", value(f"control, {PROGRESS}")),
-        ("narrower: the watch and the console alone", sum(watched) if watched else None),
+        ("narrower: the watch and the console alone", sum(measured) if measured else None),
         ("wider: all that is said and heard", value("")),
         ("the same, progress told once a second", value(PROGRESS)),
     )
--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -90,7 +90,7 @@
     given = {f"{v:,g}" for v in asdict(TARGET).values()} | {"4.7", "19", "930", "1.9"}  # 930 on 490 workers
     assert f"{930 / TARGET.workers:.1f}" == "1.9" and ranking.Load().machines == 499
     # Machines, the bend, an interval, multiples, descriptors, an HTTP status, minutes of a run.
-    ours = {"499", f"{slopes.BEND:.0%}"[:-1], "95", "2x", "10x", "1,024", "202", "20"}
+    ours = {"499", f"{slopes.MAX_BEND:.0%}"[:-1], "95", "2x", "10x", "1,024", "202", "20"}
     found = set(re.findall(r"(?<![\w.])\d[\d,.]*x?(?<![,.])", text))
     assert found <= given | ours, found - given - ours
 
@@ -204,8 +204,8 @@
         and line.intercept == pytest.approx(3)
         and line.r2 == pytest.approx(1)
     )
-    assert line.slope_spread == pytest.approx(0, abs=1e-9) and line.straight and not line.why
-    assert line.at(2000)[0] == pytest.approx(1003) and line.reaches(253) == pytest.approx(500)
+    assert line.slope_spread == pytest.approx(0, abs=1e-9) and line.straight and not line.fault
+    assert line.at(2000)[0] == pytest.approx(1003) and line.size_at_limit(253) == pytest.approx(500)
     assert max(map(abs, line.residuals)) == pytest.approx(0, abs=1e-9)
 
 
@@ -236,7 +236,7 @@
 
 def test_a_curve_is_told_from_a_line_and_not_used() -> None:
     square = slopes.fit(points({n: [100 * n * n] for n in (1.0, 3.0, 9.0, 18.0)}))
-    assert not square.straight and square.why.startswith("bent")
+    assert not square.straight and square.fault.startswith("bent")
     step = slopes.fit(points({s: [1.0 if s < 400 else 5.0] for s in (60.0, 120.0, 250.0, 490.0, 1000.0)}))
     assert not step.straight
     slight = slopes.fit(points({s: [s + 1e-5 * s * s] for s in (60.0, 120.0, 490.0, 1000.0)}))
@@ -246,7 +246,10 @@
 def test_what_does_not_vary_is_straight_and_reaches_nothing() -> None:
     line = slopes.fit(points({s: [27.0] for s in (1.0, 2.0, 3.0, 4.0)}))
     assert (
-        line.straight and line.r2 == 1 and line.reaches(64.0) is None and line.at(10)[0] == pytest.approx(27)
+        line.straight
+        and line.r2 == 1
+        and line.size_at_limit(64.0) is None
+        and line.at(10)[0] == pytest.approx(27)
     )
     assert slopes.fit(points({s: [0.0] for s in (1.0, 2.0, 3.0, 4.0)})).straight
 
@@ -472,7 +475,7 @@
 
 def test_limits_that_are_passed_are_listed_by_how_far() -> None:
     result = sample()
-    found = ranking.passed(table.rows(result), result.runs)
+    found = ranking.exceeded_limits(table.rows(result), result.runs)
     assert found[0].factor == float("inf") and found == sorted(found, key=lambda p: -p.factor)
     assert [p.limit for p in found if p.value == 70] == [64]  # the row, and not the run's figure once more
 
