--- a/tests/test_capacity_page.py
+++ b/tests/test_capacity_page.py
@@ -1,4 +1,4 @@
-"""The capacity page is what its result file gives; slopes, verdicts, ranking; how a run ends early."""
+"""Tests the capacity page, its slopes, verdicts and ranking, and the early end of a run."""
 
 import importlib.util
 import os
@@ -28,7 +28,7 @@
 
 
 def sample() -> Result:
-    """A result as a run gives one: lines, a bend, too few sizes, runs at the target and beyond, a gap."""
+    """Return a result with straight and bent sweeps, too few sizes, runs at and beyond the target, a gap."""
     result = Result(
         calibration_ms=9.5, cores=8, python="3.11.7", seconds=900.0, peak_memory_mib=2000.0, peak_processes=17
     )
@@ -81,23 +81,24 @@
 # The page.
 
 
-def test_the_page_and_its_plots_are_what_the_result_file_gives() -> None:
+def test_page_and_plots_match_the_result_file() -> None:
     assert main(["--check"]) == 0
 
 
-def test_handwritten_text_has_no_figures_but_the_targets_and_the_programs_own() -> None:
+def test_handwritten_text_has_only_figures_of_target_and_program() -> None:
     text = re.sub(r"<!-- generated.*?<!-- end -->", "", (DOCS / "CAPACITY.md").read_text(), flags=re.S)
-    given = {f"{v:,g}" for v in asdict(TARGET).values()} | {"4.7", "19", "930", "1.9"}  # 930 on 490 workers
+    # 1.9 is the number of accelerators per worker.
+    target_figures = {f"{v:,g}" for v in asdict(TARGET).values()} | {"4.7", "19", "930", "1.9"}
     assert f"{930 / TARGET.workers:.1f}" == "1.9" and ranking.Load().machines == 499
-    # Machines, the bend, an interval, multiples, descriptors, an HTTP status, minutes of a run.
-    ours = {"499", f"{slopes.MAX_BEND:.0%}"[:-1], "95", "2x", "10x", "1,024", "202", "20"}
+    # Machines, bend and interval in per cent, multiples, descriptors, an HTTP status, minutes of a run.
+    program_figures = {"499", f"{slopes.MAX_BEND:.0%}"[:-1], "95", "2x", "10x", "1,024", "202", "20"}
     found = set(re.findall(r"(?<![\w.])\d[\d,.]*x?(?<![,.])", text))
-    assert found <= given | ours, found - given - ours
+    assert found <= target_figures | program_figures, found - target_figures - program_figures
 
 
-def test_a_page_that_differs_is_found(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    docs = laid(tmp_path)
-    assert main(["--check"], docs=docs) == 1  # rendered from an empty result, the file is not
+def test_check_finds_a_differing_page(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    docs = write_docs(tmp_path)
+    assert main(["--check"], docs=docs) == 1  # the parts of the page are still empty
     assert "differs" in capsys.readouterr().out
     assert main(["--render"], docs=docs) == 0
     assert main(["--check"], docs=docs) == 0
@@ -109,8 +110,8 @@
     assert main(["--check"], docs=docs) == 1
 
 
-def laid(folder: Path) -> Path:
-    """Lay a page and a result file into a folder."""
+def write_docs(folder: Path) -> Path:
+    """Write an empty page and a result file to a folder."""
     docs = folder / "docs"
     (docs / "capacity").mkdir(parents=True)
     parts = "".join(f"\n<!-- generated: {name} -->\n<!-- end -->\n" for name in page.PARTS)
@@ -119,8 +120,8 @@
     return docs
 
 
-def test_rendering_twice_gives_the_same_bytes_and_keeps_what_is_handwritten(tmp_path: Path) -> None:
-    docs = laid(tmp_path)
+def test_rendering_is_idempotent_and_keeps_handwritten_text(tmp_path: Path) -> None:
+    docs = write_docs(tmp_path)
     assert main(["--render"], docs=docs) == 0
     first = {path.name: path.read_bytes() for path in docs.rglob("*.*")}
     assert main(["--render"], docs=docs) == 0
@@ -130,7 +131,7 @@
     assert not any(b"date>" in data for data in first.values())
 
 
-def test_what_has_changed_since_an_earlier_result_is_shown_for_the_same_runs_alone(tmp_path: Path) -> None:
+def test_changes_since_an_earlier_result_are_shown_for_equal_runs_only(tmp_path: Path) -> None:
     before, now = Result(), Result()
     for result, served, failed in ((before, 0.0, 467.0), (now, 467.0, 0.0)):
         figures = {"tasks_served": Figure(served, "tasks"), "tasks_failed": Figure(failed, "tasks", 0.0),
@@ -142,8 +143,8 @@
     rows = page.parts(now, before)["mechanism"].splitlines()[2:]
     assert rows == ["| replaced, real, seed 1 | tasks_served | 0 tasks | 467 tasks |",
                     "| replaced, real, seed 1 | tasks_failed | 467 tasks | 0 tasks |"]
-    # The page is made with the file that lies beside the result; a garbled one is told of in one line.
-    docs = laid(tmp_path)
+    # The page is rendered with before.json from the result's folder; an unreadable one is a usage error.
+    docs = write_docs(tmp_path)
     now.save(docs / "capacity/result.json")
     before.save(docs / "capacity/before.json")
     assert main(["--render"], docs=docs) == 0
@@ -152,7 +153,7 @@
     assert main(["--check"], docs=docs) == 2
 
 
-def test_tables_keep_their_columns_whatever_a_result_says() -> None:
+def test_tables_keep_their_columns_despite_special_characters() -> None:
     for name, text in page.parts(sample()).items():
         width = 0
         for row in text.splitlines():
@@ -170,17 +171,17 @@
         lambda t: t + "<!-- generated: gaps -->\n",
     ],
 )
-def test_a_page_without_its_markers_is_one_clear_line(
+def test_wrong_markers_are_a_one_line_error(
     change: object, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    docs = laid(tmp_path)
+    docs = write_docs(tmp_path)
     text = change((docs / "CAPACITY.md").read_text())  # type: ignore[operator]
     (docs / "CAPACITY.md").write_text(text)
     assert main(["--render"], docs=docs) == 2
-    assert one_line(capsys.readouterr().err) and (docs / "CAPACITY.md").read_text() == text
+    assert is_one_line(capsys.readouterr().err) and (docs / "CAPACITY.md").read_text() == text
 
 
-def test_numbers_are_written_alike_on_every_machine() -> None:
+def test_numbers_are_formatted_alike_on_every_machine() -> None:
     written = {
         0: "0",
         1234.4: "1,234",
@@ -197,7 +198,7 @@
 # Slopes.
 
 
-def test_an_exact_line_is_found_without_spread() -> None:
+def test_an_exact_line_has_no_spread() -> None:
     line = slopes.fit(points({s: [3 + 0.5 * s] for s in (60.0, 120.0, 490.0, 1000.0)}))
     assert (
         line.slope == pytest.approx(0.5)
@@ -209,7 +210,7 @@
     assert max(map(abs, line.residuals)) == pytest.approx(0, abs=1e-9)
 
 
-def test_a_known_scatter_gives_the_textbooks_spread() -> None:
+def test_the_spread_matches_the_textbook_formula() -> None:
     # y = 2x with +1, -1, -1, +1: slope 2, squared residuals 4, width 5, 2 degrees of freedom.
     line = slopes.fit(points({1.0: [3.0], 2.0: [3.0], 3.0: [5.0], 4.0: [9.0]}))
     assert line.slope == pytest.approx(2.0)
@@ -218,7 +219,7 @@
     assert line.r2 == pytest.approx(1 - 4 / 24)
 
 
-def test_noise_is_no_bend_and_the_interval_covers_the_truth_as_often_as_it_says() -> None:
+def test_noise_is_no_bend_and_the_interval_has_its_nominal_coverage() -> None:
     rng, covered, straight = Random(5), 0, 0
     for _ in range(200):
         line = slopes.fit(
@@ -234,16 +235,16 @@
     assert 180 <= covered <= 199 and straight >= 180
 
 
-def test_a_curve_is_told_from_a_line_and_not_used() -> None:
+def test_a_curve_is_not_straight() -> None:
     square = slopes.fit(points({n: [100 * n * n] for n in (1.0, 3.0, 9.0, 18.0)}))
     assert not square.straight and square.fault.startswith("bent")
     step = slopes.fit(points({s: [1.0 if s < 400 else 5.0] for s in (60.0, 120.0, 250.0, 490.0, 1000.0)}))
     assert not step.straight
     slight = slopes.fit(points({s: [s + 1e-5 * s * s] for s in (60.0, 120.0, 490.0, 1000.0)}))
-    assert slight.straight  # certain, and of no consequence within the sizes
+    assert slight.straight  # significant, but negligible within the sizes
 
 
-def test_what_does_not_vary_is_straight_and_reaches_nothing() -> None:
+def test_constant_values_are_straight_and_never_reach_a_limit() -> None:
     line = slopes.fit(points({s: [27.0] for s in (1.0, 2.0, 3.0, 4.0)}))
     assert (
         line.straight
@@ -262,7 +263,7 @@
         {1.0: [1.0], 2.0: [2.0], 3.0: [3.0], 4.0: [float("nan")]},
     ],
 )
-def test_fewer_than_four_sizes_are_no_slope(values: dict[float, list[float]]) -> None:
+def test_fewer_than_four_finite_sizes_are_no_slope(values: dict[float, list[float]]) -> None:
     with pytest.raises(slopes.SlopeError, match="not a slope"):
         slopes.fit(points(values))
 
@@ -274,7 +275,7 @@
     return {(r.name.role, r.name.part, r.name.quantity): r for r in table.rows(result)}
 
 
-def test_every_row_that_is_asked_for_is_there_without_a_run() -> None:
+def test_all_expected_rows_exist_without_a_run() -> None:
     found = rows_of(Result())
     assert {role for role, _, _ in found} == {"scheduler", "member", "discovery", "worker", "configuration"}
     assert {"decisions", "clients", "workers", "callbacks", "watch", "console"} <= {p for _, p, _ in found}
@@ -300,14 +301,14 @@
     assert len(failing) == sum(r.verdict is verdict.FAILS for r in found.values()) == 2
 
 
-def test_messages_of_one_part_are_added_up_and_progress_comes_from_its_own_run() -> None:
+def test_messages_of_a_part_are_summed_and_progress_has_its_own_run() -> None:
     found = rows_of(sample())
     assert found["scheduler", "workers", "messages_in"].value == pytest.approx(3.5)
     assert found["scheduler", "progress", "messages_in"].value == pytest.approx(467)
     assert [t.value for t in table.control(found.values())] == [12_000, None, 30, 31_000, None]
 
 
-def test_a_line_leads_to_the_target_only_where_it_is_straight_and_all_else_is_held_there() -> None:
+def test_a_line_gives_the_target_value_only_if_straight_and_other_sizes_match() -> None:
     result, sizes = Result(), (60.0, 120.0, 490.0, 1000.0)
     result.sweep(
         "scheduler",
@@ -328,7 +329,7 @@
     assert square.line and square.fault.startswith("bent") and square.at(1.0) is None
 
 
-def test_one_schedulers_part_is_held_against_one_schedulers_part_of_the_target() -> None:
+def test_target_sizes_scale_with_the_number_of_schedulers() -> None:
     assert table.target_size("running", {"schedulers": 1.0}) == pytest.approx(4200 / 9)
     assert (
         table.target_size("running", {}) == 4200 and table.target_size("workers", {"schedulers": 1.0}) == 490
@@ -336,17 +337,17 @@
     assert table.target_size("loss", {}) is None
 
 
-def test_a_bent_sweep_gives_what_was_measured_at_the_targets_size_itself() -> None:
+def test_a_bent_sweep_gives_the_value_measured_at_the_target_size() -> None:
     row = rows_of(sample())["member", "", "bytes_out"]
     assert (
         row.value == 8100
         and row.source.startswith("the target's size itself")
         and row.note.startswith("bent")
     )
-    assert row.verdict is table.Verdict.HOLDS  # half of 19 KB a second
+    assert row.verdict is table.Verdict.HOLDS  # the limit is half of 19 KB a second
 
 
-def test_memory_traced_of_a_schedulers_state_is_not_its_process_memory() -> None:
+def test_traced_memory_is_not_process_memory() -> None:
     result = Result()
     line = {s: [s * 1000] for s in (500.0, 1050.0, 4200.0, 8400.0)}
     held = {k: v for k, v in SIZES.items() if k != "running"}
@@ -356,7 +357,7 @@
     assert found["scheduler", "", "memory"].verdict is table.Verdict.NOT_MEASURED
 
 
-def test_of_the_kinds_of_change_the_slowest_counts() -> None:
+def test_the_slowest_kind_of_change_counts() -> None:
     figures = {
         "settings_in_force_most": Figure(0.4, "s"),
         "list_in_force_most": Figure(6.0, "s"),
@@ -369,10 +370,10 @@
     assert found["configuration", "", "in_force"].verdict is table.Verdict.FAILS
     assert (
         found["scheduler", "", "cpu"].verdict is table.Verdict.NOT_MEASURED
-    )  # looks at the console are in it
+    )  # it includes the polls of the console
 
 
-def test_what_breaks_first_comes_first() -> None:
+def test_limits_are_sorted_by_the_size_that_exceeds_them() -> None:
     result, sizes = Result(), (60.0, 120.0, 490.0, 1000.0)
     result.sweep("scheduler", "cpu", "µs/s", "workers", "hollow", {s: [s * 10] for s in sizes})
     result.sweep("scheduler", "memory", "MB", "workers", "hollow", {s: [10 + s / 10] for s in sizes})
@@ -386,7 +387,7 @@
 # Failures and ranking.
 
 
-def test_what_the_target_gives_by_arithmetic() -> None:
+def test_load_derived_from_the_target() -> None:
     load_ = ranking.Load()
     assert load_.run_s == pytest.approx(150) and load_.machines == 499
     assert load_.tasks == (3500, 112_000) and load_.peak_s == pytest.approx((125, 4000))
@@ -394,15 +395,15 @@
     assert load_.scheduler_restarts == pytest.approx(150 * 9 / 499)
 
 
-def played(runs: dict[str, dict[str, float]]) -> Result:
-    """A result of runs by name, with figures that are parts of 1 or counts."""
+def result_of(runs: dict[str, dict[str, float]]) -> Result:
+    """Return a result with these real runs, whose figures are shares or counts without a unit."""
     result = Result()
     for name, figures in runs.items():
         result.run(name, "real", {"running": 4200.0}, {k: Figure(v, "") for k, v in figures.items()})
     return result
 
 
-def test_real_and_hollow_are_compared_at_one_size_only() -> None:
+def test_real_and_hollow_runs_are_compared_only_at_equal_sizes() -> None:
     result = Result()
     result.run("target", "real", SIZES, {"taken": Figure(0.8, ""), "cpu": Figure(1.0, "")})
     result.run("target", "hollow", SIZES | {"schedulers": 1.0}, {"taken": Figure(0.1, "")})
@@ -412,7 +413,7 @@
     assert "| 0.8 | 0.6 | -0.25 |" in page.parts(result)["compare"]
 
 
-def test_runs_beyond_the_target_are_those_of_its_multiples_alone() -> None:
+def test_larger_runs_are_those_beyond_the_target() -> None:
     result = sample()
     result.run(
         "target, one scheduler", "hollow", SIZES | {"schedulers": 1.0}, {"open": Figure(4200.0, "", 640.0)}
@@ -420,7 +421,7 @@
     assert [(run.name, key) for run, key, _, _ in table.larger_runs(result)] == [("target x2", "urgent_late")]
 
 
-def test_a_falling_line_is_not_followed_below_nothing() -> None:
+def test_a_falling_line_is_not_extrapolated_below_zero() -> None:
     result = Result()
     line = {s: [1000 - s] for s in (60.0, 120.0, 490.0, 900.0)}
     result.sweep("scheduler", "cpu", "µs/s", "workers", "hollow", line)
@@ -428,9 +429,9 @@
     assert slope.at(1.0) and slope.at(10.0) is None and table.breaks(result)[0].values[2] is None
 
 
-def test_misses_are_ranked_by_the_tasks_they_harm_and_those_not_measured_come_last() -> None:
+def test_causes_are_ranked_by_harmed_tasks_and_unmeasured_ones_come_last() -> None:
     found = ranking.rank(
-        played(
+        result_of(
             {
                 "restarted": {"met": 50, "met_served": 5, "met_open": 0, "met_failed": 45},
                 "gangs of 32, 40 slots, load 0.1": {"begun_32": 0.01},
@@ -453,16 +454,16 @@
     assert killed.share == 1 and urgent.tasks == (0, 0) and all(h.tasks is None for h in found[5:])
 
 
-def test_what_refuses_an_even_teams_tasks_too_is_not_laid_to_its_unevenness() -> None:
+def test_refusals_of_an_even_team_are_subtracted_from_those_of_an_uneven_one() -> None:
     def team(**begun: float) -> ranking.Harm:
-        result = played({f"quota, inside, {k}": {"begun_over_asked": v} for k, v in begun.items()})
+        result = result_of({f"quota, inside, {k}": {"begun_over_asked": v} for k, v in begun.items()})
         return next(h for h in ranking.rank(result) if h.title.startswith("A team"))
 
     assert team(one=0.70, even=0.85).share == pytest.approx(0.15)
     assert team(one=0.86, even=0.85).share == 0 and team(one=0.7).share is None
 
 
-def test_a_real_run_comes_before_a_hollow_one_and_what_tells_no_share_is_passed_over() -> None:
+def test_real_runs_precede_hollow_ones_and_figures_that_are_no_share_are_skipped() -> None:
     result = Result()
     for source, late in (("hollow", 0.9), ("real", 0.2)):
         result.run("target", source, {}, {"urgent_late": Figure(late, "of tasks")})  # type: ignore[arg-type]
@@ -473,15 +474,15 @@
     assert (urgent.share, urgent.source) == (0.9, "hollow")
 
 
-def test_limits_that_are_passed_are_listed_by_how_far() -> None:
+def test_exceeded_limits_are_sorted_by_factor() -> None:
     result = sample()
     found = ranking.exceeded_limits(table.rows(result), result.runs)
     assert found[0].factor == float("inf") and found == sorted(found, key=lambda p: -p.factor)
-    assert [p.limit for p in found if p.value == 70] == [64]  # the row, and not the run's figure once more
+    assert [p.limit for p in found if p.value == 70] == [64]  # only the row, not also the run's figure
 
 
-def test_each_kind_of_failure_says_whether_it_was_measured() -> None:
-    result = played({"scheduler killed": {"met": 1}, "regions-cut": {"met": 0}})
+def test_each_kind_of_failure_knows_whether_it_was_measured() -> None:
+    result = result_of({"scheduler killed": {"met": 1}, "regions-cut": {"met": 0}})
     found = {f.kind: f.measured for f in failures.failures(result.runs)}
     assert len(found) == 8
     assert {k for k, measured in found.items() if measured} == {
@@ -493,7 +494,7 @@
 # The command.
 
 
-def one_line(text: str) -> bool:
+def is_one_line(text: str) -> bool:
     return text.startswith("capacity: ") and text.count("\n") == 1
 
 
@@ -513,26 +514,26 @@
         ["--out", "/"],
     ],
 )
-def test_a_bad_argument_is_one_clear_line(arguments: list[str], capsys: pytest.CaptureFixture[str]) -> None:
-    assert main(arguments, parts={"real": never, "hollow": never}) == 2
-    assert one_line(capsys.readouterr().err)
+def test_a_bad_argument_is_a_one_line_error(arguments: list[str], capsys: pytest.CaptureFixture[str]) -> None:
+    assert main(arguments, parts={"real": fail_if_measured, "hollow": fail_if_measured}) == 2
+    assert is_one_line(capsys.readouterr().err)
 
 
-def never(result: Result, **_: object) -> None:
-    raise AssertionError("it was measured")
+def fail_if_measured(result: Result, **_: object) -> None:
+    raise AssertionError("measured despite bad arguments")
 
 
-def test_a_part_does_not_replace_the_pages_own_file(
+def test_a_partial_run_cannot_replace_the_pages_result_file(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    docs = laid(tmp_path)
+    docs = write_docs(tmp_path)
     arguments = ["--only", "real", "--out", str(docs / "capacity/result.json")]
-    assert main(arguments, parts={"real": never}, docs=docs) == 2
-    assert one_line(capsys.readouterr().err)
+    assert main(arguments, parts={"real": fail_if_measured}, docs=docs) == 2
+    assert is_one_line(capsys.readouterr().err)
 
 
 @pytest.mark.parametrize(
-    "garbled",
+    "content",
     [
         b"",
         b"{",
@@ -544,18 +545,18 @@
     ],
 )
 @pytest.mark.parametrize("arguments", [["--render"], ["--check"], []])
-def test_a_garbled_file_is_one_clear_line(
-    garbled: bytes, arguments: list[str], tmp_path: Path, capsys: pytest.CaptureFixture[str]
+def test_an_invalid_result_file_is_a_one_line_error(
+    content: bytes, arguments: list[str], tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    docs = laid(tmp_path)
-    (docs / "capacity/result.json").write_bytes(garbled)
+    docs = write_docs(tmp_path)
+    (docs / "capacity/result.json").write_bytes(content)
     before = (docs / "CAPACITY.md").read_bytes()
-    assert main(arguments, parts={"real": never}, docs=docs) == 2
-    assert one_line(capsys.readouterr().err) and (docs / "CAPACITY.md").read_bytes() == before
+    assert main(arguments, parts={"real": fail_if_measured}, docs=docs) == 2
+    assert is_one_line(capsys.readouterr().err) and (docs / "CAPACITY.md").read_bytes() == before
 
 
-def test_a_whole_run_writes_file_page_and_plots(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
-    docs = laid(tmp_path)
+def test_a_complete_run_writes_result_page_plots(tmp_path: Path, capsys: pytest.CaptureFixture[str]) -> None:
+    docs = write_docs(tmp_path)
 
     def real(result: Result, *, small: bool, seed: int, say: object, track: object) -> None:
         assert not small and seed == 7
@@ -568,8 +569,8 @@
     assert main(["--check"], docs=docs) == 0
 
 
-def test_a_part_that_fails_leaves_all_as_it_was(tmp_path: Path) -> None:
-    docs = laid(tmp_path)
+def test_a_failing_part_leaves_all_files_unchanged(tmp_path: Path) -> None:
+    docs = write_docs(tmp_path)
     before = {path: path.read_bytes() for path in docs.rglob("*.*")}
 
     def real(result: Result, **_: object) -> None:
@@ -580,9 +581,9 @@
     assert {path: path.read_bytes() for path in docs.rglob("*.*")} == before
 
 
-# A part that starts a process, which starts another; says so, and works on. "deaf": it heeds no interruption,
-# nor do its processes.
-PART = """
+# A part that starts a process with a child, prints their ids and runs on. "deaf": the part and its processes
+# ignore interruptions.
+PART_SCRIPT = """
 import signal, subprocess, sys, time
 from pathlib import Path
 from hazellead.lab.capacity import __main__ as command
@@ -624,13 +625,13 @@
         ("deaf", signal.SIGTERM, 143),
     ],
 )
-def test_an_interrupted_run_leaves_the_last_file_and_no_process(
+def test_an_interrupted_run_leaves_files_unchanged_and_no_process(
     kind: str, number: signal.Signals, code: int, tmp_path: Path
 ) -> None:
-    docs = laid(tmp_path)
+    docs = write_docs(tmp_path)
     before = {path: path.read_bytes() for path in docs.rglob("*.*")}
     run = subprocess.Popen(
-        [sys.executable, "-c", PART, kind, str(docs), "60"],
+        [sys.executable, "-c", PART_SCRIPT, kind, str(docs), "60"],
         cwd=ROOT,
         text=True,
         stdout=subprocess.PIPE,
@@ -640,29 +641,29 @@
     pids = [int(p) for p in next(line for line in run.stdout if "pids" in line).split()[-2:]]
     assert all(map(alive, pids))
     run.send_signal(number)
-    _, words = run.communicate(timeout=30)
-    assert run.returncode == code and one_line(words), words
+    _, error_output = run.communicate(timeout=30)
+    assert run.returncode == code and is_one_line(error_output), error_output
     assert not any(map(alive, pids))
     assert {path: path.read_bytes() for path in docs.rglob("*.*")} == before
 
 
-def test_a_run_that_takes_too_long_ends_itself(tmp_path: Path) -> None:
-    docs = laid(tmp_path)
+def test_a_run_ends_itself_at_its_time_limit(tmp_path: Path) -> None:
+    docs = write_docs(tmp_path)
     before = (docs / "capacity/result.json").read_bytes()
     run = subprocess.run(
-        [sys.executable, "-c", PART, "heeding", str(docs), "1"],
+        [sys.executable, "-c", PART_SCRIPT, "heeding", str(docs), "1"],
         cwd=ROOT,
         text=True,
         timeout=30,
         capture_output=True,
         check=False,
     )
-    assert run.returncode == 1 and one_line(run.stderr) and "over 1 s" in run.stderr
+    assert run.returncode == 1 and is_one_line(run.stderr) and "over 1 s" in run.stderr
     pids = [int(p) for p in next(line for line in run.stdout.splitlines() if "pids" in line).split()[-2:]]
     assert not any(map(alive, pids)) and (docs / "capacity/result.json").read_bytes() == before
 
 
-def test_memory_and_count_are_of_this_process_and_what_it_has_started() -> None:
+def test_peaks_cover_this_process_and_its_descendants() -> None:
     called: list[str] = []
     watch = peaks.Peaks(1.0, 100, 100.0, called.append)
     watch.sample()
@@ -681,7 +682,7 @@
     assert not alive(child.pid) and alive(os.getpid())
 
 
-def test_a_scheduler_needs_none_of_the_pages_libraries() -> None:
+def test_schedulers_do_not_import_the_pages_libraries() -> None:
     code = (
         "import sys; import hazellead.__main__, hazellead.sim.host; "
         "print(sorted({'matplotlib', 'jinja2', 'numpy'} & set(sys.modules)))"
@@ -692,6 +693,6 @@
     assert importlib.util.find_spec("matplotlib") and "matplotlib" not in listed and "jinja2" not in listed
 
 
-def test_plots_show_every_sweep_once() -> None:
+def test_every_sweep_is_in_exactly_one_plot() -> None:
     found = table.slopes(sample())
     assert sum(len(some) for some in table.plot_groups(found).values()) == len(found) == 4
