--- a/hazellead/lab/capacity/alone.py
+++ b/hazellead/lab/capacity/alone.py
@@ -302,8 +302,8 @@
 
 
 def _is_excluded(module: str) -> bool:
-    included = module.startswith(("hazellead.core", "hazellead.decide")) or module == Metered.__module__
-    return not included and module.startswith(("hazellead", "tornado", "structlog"))
+    kept = module.startswith(("hazellead.core", "hazellead.decide")) or module == Metered.__module__
+    return not kept and module.startswith(("hazellead", "tornado", "structlog"))
 
 
 def trace_memory(shape: Shape) -> dict[str, tuple[int, int, int]]:
--- a/hazellead/lab/capacity/members.py
+++ b/hazellead/lab/capacity/members.py
@@ -1,8 +1,8 @@
 """Members of an installation that exchange facts over a modelled network, in virtual time.
 
 Each member is a real ``peers.Node`` with a ``SchedulerHarness``. It publishes what its own scheduler has
-learned through the same ``Pupil`` as in the running program. Messages are really encoded, and their bytes
-include the overhead of TLS.
+learned through the same ``Pupil`` as in the running program. Messages are really encoded, and their
+bytes include the overhead of TLS.
 """
 
 from dataclasses import dataclass, replace
--- a/hazellead/lab/capacity/ranking.py
+++ b/hazellead/lab/capacity/ranking.py
@@ -114,7 +114,7 @@
     return read
 
 
-def spared_share(*keys: str) -> ShareReader:
+def complement_share(*keys: str) -> ShareReader:
     """Return a reader of the harmed share, as the complement of the first of these figures."""
 
     def read(run: Run) -> float | None:
@@ -125,21 +125,21 @@
 
 
 # Names of a failure run's figures: the affected tasks, and those of them that were not harmed.
-_MET = (("met", ("met_served", "met_open")), ("tasks_open", ("tasks_served", "tasks_still_open")))
+_MET_FIGURES = (("met", ("met_served", "met_open")), ("tasks_open", ("tasks_served", "tasks_still_open")))
 
 
-def lost_share_of_met(run: Run) -> float | None:
+def harmed_share_of_affected(run: Run) -> float | None:
     """Return the share of the affected tasks that were neither served nor open; None if not measured."""
-    for met, unharmed_keys in _MET:
-        if met in run.figures and run.figures[met].value:
+    for affected, unharmed_keys in _MET_FIGURES:
+        if affected in run.figures and run.figures[affected].value:
             left = sum(run.figures[k].value for k in unharmed_keys if k in run.figures)
-            return max(0.0, 1 - left / run.figures[met].value)
+            return max(0.0, 1 - left / run.figures[affected].value)
     return None
 
 
-def lost_share_of_running(run: Run) -> float | None:
+def harmed_share_of_running(run: Run) -> float | None:
     """Return the share of all running tasks that a failure harmed; None if not measured."""
-    lost, running = lost_share_of_met(run), run.sizes.get("running", 0.0)
+    lost, running = harmed_share_of_affected(run), run.sizes.get("running", 0.0)
     if lost is None or "met" not in run.figures or not running:
         return lost  # a run without "met" counts all open tasks, which are the running ones
     return min(1.0, lost * run.figures["met"].value / running)
@@ -183,7 +183,7 @@
     Cause(
         "A scheduler is restarted as planned",
         r"restart",
-        lost_share_of_met,
+        harmed_share_of_affected,
         lambda load: _per_scheduler(load.scheduler_restarts_range, load),
         "restarts a day that meet a scheduler x running / schedulers x share lost",
         "open jobs pass to the next process",
@@ -191,7 +191,7 @@
     Cause(
         "A scheduler is replaced by a second process",
         r"replac",
-        lost_share_of_met,
+        harmed_share_of_affected,
         lambda load: _per_scheduler(load.scheduler_restarts_range, load),
         "restarts a day that meet a scheduler x running / schedulers x share lost",
         "open jobs pass to the next process",
@@ -199,7 +199,7 @@
     Cause(
         "A scheduler fails",
         r"kill",
-        lost_share_of_met,
+        harmed_share_of_affected,
         lambda load: _per_scheduler(load.scheduler_failures, load),
         "failures a day x schedulers / machines x running / schedulers x share lost",
         "open jobs are known to somebody else",
@@ -207,7 +207,7 @@
     Cause(
         "A zone is cut off",
         r"zone.cut",
-        lost_share_of_running,
+        harmed_share_of_running,
         lambda load: _per_year(ZONE_LOSSES_A_YEAR, load),
         "zones lost a year / 365 x running x share of it lost",
         "jobs of lost workers begin elsewhere",
@@ -215,7 +215,7 @@
     Cause(
         "A zone loses power",
         r"zone without power",
-        lost_share_of_running,
+        harmed_share_of_running,
         lambda load: _per_year(ZONE_LOSSES_A_YEAR, load),
         "zones lost a year / 365 x running x share of it lost",
         "jobs of lost workers begin elsewhere",
@@ -223,7 +223,7 @@
     Cause(
         "The regions lose each other",
         r"region",
-        lost_share_of_running,
+        harmed_share_of_running,
         lambda load: _per_year(REGION_CUTS_A_YEAR, load),
         "cuts a year / 365 x running x share of it lost",
         "answers wait for the way back",
@@ -231,7 +231,7 @@
     Cause(
         "Gangs that a worker could take are refused",
         r"^gangs of 32, 40 slots, load [\d.]+$",
-        spared_share("begun_32"),
+        complement_share("begun_32"),
         _gangs,
         "jobs a day x part that are gangs x 32 slots x share of 32 slots not begun, idle workers of 40",
         "a tenant's bank reaches a gang's width",
@@ -239,7 +239,7 @@
     Cause(
         "Gangs wider than every worker, if workers have 10 slots",
         r"^gangs, 10 slots, load 0.1$",
-        spared_share("begun_32"),
+        complement_share("begun_32"),
         _gangs,
         "jobs a day x part that are gangs x 32 slots x share of 32 slots not begun, idle workers of 10",
         "none here: no job is spread over workers",
@@ -247,7 +247,7 @@
     Cause(
         "Urgent work starts late",
         r"^target$",
-        first_found(harmed_share("urgent_late"), spared_share("urgent_within_1s")),
+        first_found(harmed_share("urgent_late"), complement_share("urgent_within_1s")),
         lambda load: multiply(load.tasks, URGENT_TASKS),
         "tasks a day x part that are urgent x share over 1 s",
         "no push behind a job of minutes",
@@ -255,7 +255,7 @@
     Cause(
         "A team's tasks come at one scheduler and are refused within its quota",
         r"quota, inside, one$",
-        spared_share("begun_over_asked"),
+        complement_share("begun_over_asked"),
         lambda load: multiply(load.tasks, UNEVEN_TASKS),
         "tasks a day x part whose team comes at one scheduler x share not begun, over that of an even team",
         "schedulers tell each other what tenants use",
--- a/hazellead/lab/capacity/real_stand.py
+++ b/hazellead/lab/capacity/real_stand.py
@@ -420,8 +420,8 @@
     async def heal(self) -> None:
         """Restore all cut connections."""
         await asyncio.gather(*(h.ask("heal") for h in self.workers))
-        for discovery_host in self.discovery.desks.values():
-            discovery_host.door.come_back()
+        for server in self.discovery.desks.values():
+            server.door.come_back()
 
     async def ramp(self, seconds: float, running: int | None = None) -> None:
         """Submit the tasks of the steady state, evenly over ``seconds``, and wait that long."""
