--- a/hazellead/lab/capacity/hollow_runs.py
+++ b/hazellead/lab/capacity/hollow_runs.py
@@ -7,9 +7,9 @@
 from statistics import median
 
 from hazellead.decide import interface as api
-from hazellead.lab.capacity.alone import Alone
+from hazellead.lab.capacity.alone import SchedulerHarness
 from hazellead.lab.capacity.hollow_scope import Scope
-from hazellead.lab.capacity.members import Members, short_tasks
+from hazellead.lab.capacity.members import Members, with_short_tasks
 from hazellead.lab.capacity.result import Figure, Result, Run
 from hazellead.lab.capacity.target import TARGET
 from hazellead.lab.capacity.virtual_world import URGENT, Gangs, Installation, Shape, Task, shares
@@ -292,15 +292,15 @@
     seen: bool  # whether a gang of the same width is submitted before
 
     def __call__(self, width: int) -> bool:
-        alone = Alone(self.shape)
+        alone = SchedulerHarness(self.shape)
         if self.shape.starts:
-            alone.come()
+            alone.start_arrivals()
         resize_us = int(1.4 * self.shape.work.mean_s * US)  # long enough for banks and buffers to be resized
         alone.time.run_us(resize_us if self.shape.starts else 20 * US)
         if self.seen:
-            alone.ask(self.tenant, width)
+            alone.submit_task(self.tenant, width)
             alone.time.run_us(resize_us)
-        return alone.ask(self.tenant, width)
+        return alone.submit_task(self.tenant, width)
 
 
 def _first_refused_width(admits: Callable[[int], bool]) -> int:
@@ -500,26 +500,26 @@
     """Cut eighteen peers into two halves for a minute, on a network that loses 5 % of the messages."""
     members = 6 if scope.small else 18
     loss, cut = 0.05, 20.0 if scope.small else CUT_S
-    shape = short_tasks(scope.shape(schedulers=members, workers=10 if scope.small else 60), 5.0)
+    shape = with_short_tasks(scope.shape(schedulers=members, workers=10 if scope.small else 60), 5.0)
     group = Members(shape, MeshNetwork(loss=loss))
     group.warm()
     group.join()
-    joined = group.agree(60)
-    group.window(3)
-    steady = group.window(6)
+    joined = group.seconds_to_agree(60)
+    group.measure(3)
+    steady = group.measure(6)
     false_deaths = len(group.mesh.deaths)
     cut_at_us = group.time.now_us()
     group.mesh.partition([f"n{n}" for n in range(members // 2)])
-    while_cut = group.window(cut)
+    while_cut = group.measure(cut)
     deaths = [at for at, _, _ in group.mesh.deaths if at >= cut_at_us]
     sent = [p.sent_bytes for p in group.peers]
     group.mesh.heal()
-    agreed = group.agree(120)
+    agreed = group.seconds_to_agree(120)
     measured_s = max(10.0, agreed if math.isfinite(agreed) else 120.0)
-    group.window(measured_s - min(measured_s, agreed))
+    group.measure(measured_s - min(measured_s, agreed))
     after = [(p.sent_bytes - sent_before) / measured_s
              for p, sent_before in zip(group.peers, sent, strict=True)]
-    converged = group.know_alike(60)
+    converged = group.seconds_to_share_facts(60)
     figures = {
         "joined": Figure(joined, "s", note="until every member saw all others alive"),
         "deaths_at_rest": Figure(false_deaths, "deaths", 0, "declared of members that were alive"),
--- a/hazellead/lab/capacity/hollow_sweeps.py
+++ b/hazellead/lab/capacity/hollow_sweeps.py
@@ -3,9 +3,9 @@
 from collections.abc import Mapping, Sequence
 from dataclasses import replace
 
-from hazellead.lab.capacity.alone import Alone, reached, traced
+from hazellead.lab.capacity.alone import SchedulerHarness, reachable_bytes, trace_memory
 from hazellead.lab.capacity.hollow_scope import Scope
-from hazellead.lab.capacity.members import Members, digest_of, short_tasks
+from hazellead.lab.capacity.members import Members, digest_size, with_short_tasks
 from hazellead.lab.capacity.result import Figure, Result
 from hazellead.lab.capacity.virtual_world import Gangs, Shape
 from hazellead.lab.fleet import US
@@ -27,12 +27,12 @@
                      **constants)
 
 
-def _measure_window(alone: Alone, seconds: float) -> dict[str, tuple[float, str]]:
-    cost = alone.window(seconds)
+def _measure_window(alone: SchedulerHarness, seconds: float) -> dict[str, tuple[float, str]]:
+    cost = alone.measure(seconds)
     return {
         "decisions_cpu": (cost.decisions_ns / 1000 / seconds, "us/s"),
         "decisions_cpu_arrival": (cost.decisions_ns / 1000 / max(1, cost.arrivals), "us/arrival"),
-        "core_cpu": (cost.whole_ns / 1000 / seconds, "us/s"),  # decisions, core and simulated workers
+        "core_cpu": (cost.total_ns / 1000 / seconds, "us/s"),  # decisions, core and simulated workers
         "events": (cost.events / seconds, "1/s"), "actions": (cost.actions / seconds, "1/s"),
         "steps": (cost.steps / seconds, "1/s"), "timers": (cost.counts.get("SetTimer", 0) / seconds, "1/s"),
         "looks": (cost.looks / max(1, cost.arrivals), "1/arrival")}
@@ -82,7 +82,7 @@
         rows_by_size: dict[float, list[Quantities]] = {}
         for size in sizes:
             for seed in scope.seeds[:2]:
-                alone = Alone(_shape_along(scope, axis, size, scope.shape(seed)))
+                alone = SchedulerHarness(_shape_along(scope, axis, size, scope.shape(seed)))
                 alone.ramp()
                 rows_by_size.setdefault(size, []).append(_measure_window(alone, seconds))
         _add_sweeps(result, "scheduler", axis, rows_by_size, _constant_sizes(scope.shape(), axis))
@@ -95,7 +95,7 @@
         rows_by_size: dict[float, list[Quantities]] = {}
         for size in sizes:
             for seed in scope.seeds[:2]:
-                alone = Alone(scope.shape(seed))
+                alone = SchedulerHarness(scope.shape(seed))
                 alone.ramp()
                 (alone.change_lists if role == "discovery" else alone.change_settings)(size)
                 rows_by_size.setdefault(size, []).append(_measure_window(alone, seconds))
@@ -112,18 +112,18 @@
         rows_by_size: dict[float, list[Quantities]] = {}
         for size in _axes(scope)[axis]:
             for seed in scope.seeds[:2]:
-                alone = Alone(_shape_along(scope, axis, size, scope.shape(seed)))
+                alone = SchedulerHarness(_shape_along(scope, axis, size, scope.shape(seed)))
                 alone.time.run_us(US)
-                idle = reached(alone.scheduler)
+                idle = reachable_bytes(alone.scheduler)
                 alone.ramp()
-                full = reached(alone.scheduler)
-                alone.empty()
+                full = reachable_bytes(alone.scheduler)
+                alone.drain()
                 rows_by_size.setdefault(size, []).append({
                     "memory_idle": (idle, "bytes"), "memory": (full, "bytes"),
-                    "memory_left": (reached(alone.scheduler), "bytes")})
+                    "memory_left": (reachable_bytes(alone.scheduler), "bytes")})
         _add_sweeps(result, "scheduler", axis, rows_by_size, _constant_sizes(scope.shape(), axis))
     shape = scope.shape()
-    figures = {f"{name}_{stage}": Figure(value, "bytes") for name, stages in traced(shape).items()
+    figures = {f"{name}_{stage}": Figure(value, "bytes") for name, stages in trace_memory(shape).items()
                for stage, value in zip(("idle", "full", "left"), stages, strict=True)}
     result.run("memory", "hollow", shape.sizes(), figures, scope.seed)
 
@@ -140,21 +140,21 @@
         for size in sizes:
             for seed in scope.seeds[:2]:
                 base = scope.shape(seed) if axis == "schedulers" else scope.shape(seed, schedulers=2)
-                group = Members(short_tasks(_shape_along(scope, axis, size, base), task_s))
+                group = Members(with_short_tasks(_shape_along(scope, axis, size, base), task_s))
                 group.warm(warm_s)
                 group.join()
-                group.window(settle_s)
-                group.told_ns = 0
-                traffic = group.window(seconds)
+                group.measure(settle_s)
+                group.publish_ns = 0
+                traffic = group.measure(seconds)
                 row = {"bytes_out": (traffic.bytes_out, "B/s"), "messages_out": (traffic.messages_out, "1/s"),
                        "facts": (group.facts(), "facts"), "digest": (group.digest_bytes(), "bytes"),
                        "snapshot": (group.snapshot_bytes(), "bytes"),
-                       "telling_cpu": (group.told_ns / 1000 / seconds / len(group.peers), "us/s")}
+                       "telling_cpu": (group.publish_ns / 1000 / seconds / len(group.peers), "us/s")}
                 row |= {f"bytes_out_{kind.lower()}": (traffic.by_kind.get(kind, 0.0), "B/s")
                         for kind in ("Delta", "Digest", "Ping", "Ack", "Sync")}
                 rows_by_size.setdefault(size, []).append(row)
         _add_sweeps(result, "member", axis, rows_by_size, constants | {"task_s": task_s})
-    origins = {float(n): [float(digest_of(n))] for n in (3, 9, 18, 50, 100, 200)}
+    origins = {float(n): [float(digest_size(n))] for n in (3, 9, 18, 50, 100, 200)}
     result.sweep("member", "digest", "bytes", "origins", "hollow", origins)
 
 
@@ -164,14 +164,14 @@
     rows_by_size: dict[float, list[Quantities]] = {}
     for size in (10, 20, 40, 80) if scope.small else (60, 250, 490, 1000):
         for seed in scope.seeds[:2]:
-            group = Members(short_tasks(scope.shape(seed, schedulers=3, workers=size), task_s))
+            group = Members(with_short_tasks(scope.shape(seed, schedulers=3, workers=size), task_s))
             group.warm()
             group.join(learn=True)
-            group.window(1.0)
-            group.taught_ns = group.taught = 0
-            group.window(seconds)
+            group.measure(1.0)
+            group.adopt_ns = group.adopted = 0
+            group.measure(seconds)
             rows_by_size.setdefault(size, []).append({
-                "learning_cpu": (group.taught_ns / 1000 / seconds / 3, "us/s"),
-                "takings": (group.taught / seconds / 3, "1/s")})
+                "learning_cpu": (group.adopt_ns / 1000 / seconds / 3, "us/s"),
+                "takings": (group.adopted / seconds / 3, "1/s")})
     constants = _constant_sizes(scope.shape(schedulers=3), "workers") | {"task_s": task_s}
     _add_sweeps(result, "member", "workers", rows_by_size, constants)
