--- a/hazellead/core/generations.py
+++ b/hazellead/core/generations.py
@@ -27,7 +27,7 @@
     tenant_rows: tuple[tuple[str, api.Tenant], ...]  # name and rules by tenant number
     class_ids: tuple[int, ...]  # class numbers, in the order of the settings
     tenant_ids: tuple[int, ...]
-    fresh: frozenset[int] = frozenset()  # class numbers that are new or now mean another class
+    new_classes: frozenset[int] = frozenset()  # class numbers that are new or now mean another class
 
 
 def initial(settings: api.Settings, classes: Sequence[str] = (), tenants: Sequence[str] = ()) -> Generation:
@@ -52,12 +52,12 @@
         if row in rows:
             numbers[i] = rows.index(row)
     free = [n for n in range(len(rows)) if n not in open_classes and n not in numbers.values()]
-    fresh = set()
+    new_classes = set()
     for i, row in enumerate(wanted):
         if i not in numbers:
             numbers[i] = free.pop(0) if free else len(rows)
             rows[numbers[i]:numbers[i] + 1] = [row]
-            fresh.add(numbers[i])
+            new_classes.add(numbers[i])
     # A removed tenant keeps its portion while its jobs are open; its number is never given to another.
     tenant_rows = [row if n in open_tenants else (row[0], api.Tenant(GONE_PORTION))
                    for n, row in enumerate(current.tenant_rows)]
@@ -70,7 +70,7 @@
         raise TooManyError("too many classes or tenants have come and gone: start anew")
     return Generation(
         current.number + 1, _merged(settings, rows, tenant_rows), tuple(rows), tuple(tenant_rows),
-        tuple(numbers[i] for i in range(len(wanted))), tuple(tenant_numbers), frozenset(fresh))
+        tuple(numbers[i] for i in range(len(wanted))), tuple(tenant_numbers), frozenset(new_classes))
 
 
 def including(current: Generation, row: tuple[str, api.JobClass], tenant: str) -> tuple[Generation, int, int]:
@@ -79,10 +79,10 @@
     Returns a generation that numbers both, with their numbers: the current one if it does already. New jobs
     are not affected, since the lists of the settings in force stay the same. Raises TooManyError.
     """
-    rows, tenant_rows, fresh = list(current.class_rows), list(current.tenant_rows), frozenset[int]()
+    rows, tenant_rows, new_classes = list(current.class_rows), list(current.tenant_rows), frozenset[int]()
     if row not in rows:
         rows.append(row)
-        fresh = frozenset({len(rows) - 1})
+        new_classes = frozenset({len(rows) - 1})
     names = [name for name, _ in tenant_rows]
     if tenant not in names:
         names.append(tenant)
@@ -94,7 +94,7 @@
         raise TooManyError("too many classes or tenants have come and gone: start anew")
     return replace(
         current, settings=_merged(current.settings, rows, tenant_rows), class_rows=tuple(rows),
-        tenant_rows=tuple(tenant_rows), fresh=fresh), *numbers
+        tenant_rows=tuple(tenant_rows), new_classes=new_classes), *numbers
 
 
 def _rows(settings: api.Settings, names: Sequence[str]) -> list[tuple[str, api.JobClass]]:
--- a/hazellead/core/migration.py
+++ b/hazellead/core/migration.py
@@ -85,7 +85,7 @@
                 map(self._transport.accepted_by_worker, open_attempts)):
             return None
         now, generation = self._clock.now(), self._scheduler.generation
-        self._scheduler.park(number, on=True)
+        self._scheduler.set_parked(number, parked=True)
         return OpenJob(
             job, generation.class_rows[job.job_class][1], generation.tenant_rows[job.tenant][0],
             deadline - now, tuple(OpenAttempt(
@@ -94,7 +94,7 @@
 
     def resume(self, number: int) -> None:
         """Resume a parked job that the other process does not take over."""
-        self._scheduler.park(number, on=False)
+        self._scheduler.set_parked(number, parked=False)
 
     def forget(self, number: int) -> None:
         """Forget a parked job that the other process has taken over."""
@@ -104,9 +104,10 @@
 
     # In the process that takes jobs over.
 
-    def check(self, open_job: OpenJob, more: int) -> None:
-        """Raise MigrationRefusedError if the job cannot be taken over in addition to ``more`` others."""
-        if self._scheduler.free_capacity <= more or open_job.job.identity in self._scheduler.open_identities:
+    def check(self, open_job: OpenJob, reserved: int) -> None:
+        """Raise MigrationRefusedError if the job cannot be taken over beside ``reserved`` others."""
+        if (self._scheduler.free_capacity <= reserved
+                or open_job.job.identity in self._scheduler.open_identities):
             raise MigrationRefusedError("no room, or its id is open here")
         if unknown := [a.worker for a in open_job.attempts if self._number(a.worker) is None]:
             raise MigrationRefusedError(f"no such worker: {unknown[0]}")
@@ -134,11 +135,11 @@
 
         return self._scheduler.adopt(job, reply, max(timedelta(0), open_job.left - elapsed), attempts)
 
-    def _attempt(self, number: int, n: int, job: Job, given: OpenAttempt, now: datetime) -> Attempt:
-        worker = self._number(given.worker)
+    def _attempt(self, number: int, n: int, job: Job, prior: OpenAttempt, now: datetime) -> Attempt:
+        worker = self._number(prior.worker)
         assert worker is not None
-        attempt = Attempt(self._scheduler, number, n, worker, job, now - given.sent, now + given.left)
-        attempt.began_at = None if given.began is None else now - given.began
-        attempt.outcome = given.outcome
+        attempt = Attempt(self._scheduler, number, n, worker, job, now - prior.sent, now + prior.left)
+        attempt.began_at = None if prior.began is None else now - prior.began
+        attempt.outcome = prior.outcome
         self._transport.adopt(attempt)
         return attempt
--- a/hazellead/core/scheduler.py
+++ b/hazellead/core/scheduler.py
@@ -117,7 +117,7 @@
         """Put a generation into effect for jobs submitted from now on."""
         self.generation, self.settings = generation, generation.settings
         self._tick = from_us(self.settings.tick_us)
-        self._enqueue(api.SettingsChanged(self.settings, generation.fresh))
+        self._enqueue(api.SettingsChanged(self.settings, generation.new_classes))
 
     @property
     def open_identities(self) -> frozenset[str]:
@@ -157,11 +157,11 @@
         self._cap_deadline(request)
         self._requests[request.number] = request
         self._identities.add(job.identity)
-        made = tuple(api.PriorAttempt(
+        prior_attempts = tuple(api.PriorAttempt(
             a.worker, to_us(a.sent - EPOCH), to_us(a.began_at - EPOCH) if a.began_at else 0, a.outcome,
         ) for a in attempts)
         self._enqueue(api.Arrival(
-            request.number, job.job_class, to_us(left), job.tenant, job.slots, prior_attempts=made))
+            request.number, job.job_class, to_us(left), job.tenant, job.slots, prior_attempts=prior_attempts))
 
     def abandon(self, number: int) -> None:
         """Record that the client has disconnected; the dispatcher decides whether to cancel open attempts."""
@@ -198,11 +198,11 @@
         """Return the attempts made for a job; empty if the job is not open."""
         return self._requests[number].attempts if number in self._requests else ()
 
-    def park(self, number: int, *, on: bool) -> None:
+    def set_parked(self, number: int, *, parked: bool) -> None:
         """Suspend a job while it is offered to another process, or resume it."""
         if request := self._requests.get(number):
-            request.parked = on
-            if not on and self._clock.now() >= request.until:  # its time ran out while it was parked
+            request.parked = parked
+            if not parked and self._clock.now() >= request.until:  # its time ran out while it was parked
                 (self._end_early if request.until < request.deadline else self._expire)(request)
 
     def forget_migrated(self, number: int) -> None:
@@ -349,7 +349,7 @@
         return rules.effect is api.Effect.KEYED and (
             self._clock.now() < min(earlier) + from_us(rules.key_ttl_us))
 
-    # The dispatcher's knowledge, shared between instances.
+    # The dispatcher's estimates, shared between instances.
 
     @property
     def workers(self) -> tuple[api.WorkerEntry, ...]:
@@ -360,15 +360,15 @@
         """Return the name under which all processes know a worker."""
         return self._directory.name(worker)
 
-    def known(self) -> "SharedEstimates":
-        """Return what this scheduler's dispatcher has observed itself."""
+    def export_estimates(self) -> "SharedEstimates":
+        """Return the dispatcher's estimates that rest on its own observations."""
         return self._dispatcher.export_estimates()
 
-    def learn(self, known: "SharedEstimates") -> None:
-        """Pass observations of other instances to the dispatcher, once it has handled all queued events."""
+    def adopt_estimates(self, estimates: "SharedEstimates") -> None:
+        """Pass estimates of other instances to the dispatcher, once it has handled all queued events."""
         if self._events:
             self._step()
-        self._dispatcher.adopt_estimates(known)
+        self._dispatcher.adopt_estimates(estimates)
 
     @property
     def listed_workers(self) -> tuple[int, int]:
--- a/hazellead/decide/dispatcher.py
+++ b/hazellead/decide/dispatcher.py
@@ -29,24 +29,24 @@
 SHORT_JOB_RUN_TIMES = 0.3  # length of a short job; jobs are buffered only as long as short ones can wait
 RATE_INCREASE = 0.2  # added to the rate factor per job served while throttles bind, times the free share
 RATE_DECREASE = 0.2  # share of the rate factor lost per sign of overload, times the share of busy slots
-INITIAL_RATE_FACTOR = 2.0  # overload shows within a few run times, needless refusals do not
+INITIAL_RATE_FACTOR = 2.0  # overload shows within a few run times, needless refusals never show
 MIN_RATE_FACTOR = 0.5  # the token rate never falls below this part of the starting rate
 QUOTA_HEADROOM = 1.25  # this dispatcher's part of the quotas, over the median tenant's demand per share
 DEMAND_RUN_TIMES = 40.0  # mean run times over which a tenant's demand is averaged
 KIND_WEIGHT_RUN_TIMES = 12  # without hints, a kind's pace weighs as much as this many of a worker's run times
 LEARN_RATE = 0.1  # weight of the newest observation in running averages
 SILENCE_RUN_TIMES = 4.0  # mean run times of unanswered work that make a worker silent, an attempt overdue
-TRIAL_DOUBT = 0.25  # doubt from which a worker gets trial jobs only; blame is halved, plus 1 for a failure
+TRIAL_DOUBT = 0.25  # doubt from which only trial jobs are sent; success halves blame, failure halves it, plus 1
 FIRST_RESET_BLAME = 0.15  # blame for a first broken connection; below TRIAL_DOUBT
 COLD_BUDGET_SHARE = 0.6  # part of a cold worker's budget that is used
-COLD_CAPACITY_MULTIPLE = 1.7  # without reports: cap, over a cold worker's minimum capacity, which most exceed
+COLD_CAPACITY_MULTIPLE = 1.7  # cap of its budget without reports, over its minimum capacity: most can do more
 COLD_MARGIN_DEVIATIONS = 1.5  # standard deviations kept free in the budget: dispatchers draw independently
 COPIES_PER_PUSH = 0.1  # second copies allowed per push; each start that queueing made late takes one back
 PROBE_POINTS_PER_REQUEST = 0.01  # price points that may be spent on probes per request
 SUBSCRIBE_SPREAD_TICKS = 10  # ticks per dispatcher over which the first calls to the list service are spread
-PROBE_WAIT_SHARE, PROBES_AT_ONCE = 0.75, 3  # part of the slack a job waits for a probed free slot; probes out
-UNHEARD_FREE, UNHEARD_MAX = 2, 8  # pushes to a zone since its last sign of life: without effect, counted
-CONNECT_FAILURE_LIMIT = 0.5  # share of recent connects failing from which open connections come first
+PROBE_WAIT_SHARE, PROBES_AT_ONCE = 0.75, 3  # part of the slack that a job waits for probes; open probes
+UNHEARD_FREE, UNHEARD_MAX = 2, 8  # pushes to a zone since its last sign of life: tolerated, counted at most
+CONNECT_FAILURE_LIMIT = 0.5  # share of recent connects that fail from which idle connections come first
 SAMPLE_SIZE = 8  # workers sampled before the whole fleet is searched
 REPORT_LIFETIME_PERIODS = 4.0  # report periods without a new one after which the last counts for nothing
 FORGET_INTERVALS = 12  # asking intervals after which an unlisted worker that serves nothing is forgotten
@@ -138,7 +138,8 @@
         self.mean_run_us = sum(self.class_run_us) / len(self.class_run_us)
         # Last addition of tokens, resizing of throttles, empty bank; when the timer and a list call are due.
         self.now = self.accrued_at = self.resized_at = self.emptied_at = self.timer_at = self.ask_at = -1
-        # The last two: this step found no worker for a paid first attempt; for a job that may go anywhere.
+        # The last two: this step found no worker for a paid first attempt, so that no tokens are added; for a
+        # job that may go anywhere, so that no further search is made for such jobs.
         self.list_failures, self.open_probes, self.probed_at, self.paid_stuck, self.all_stuck = (
             0, 0, -1, False, False)
         self.leased = True  # the worker list may be acted on
@@ -325,7 +326,7 @@
 
     def _add_tokens(self) -> None:
         """Add the tokens due; what overflows full banks goes to tenants with unpaid jobs, by share."""
-        # While a paid job finds every worker full, more tokens would only move the queue behind the throttle.
+        # While a paid job finds every worker full, more tokens would only lengthen the queue of paid jobs.
         paused = self.paid_stuck or not self.leased
         passed, self.accrued_at, spare = 0 if paused else self.now - self.accrued_at, self.now, 0.0
         if self.now - self.resized_at > self.mean_run_us:
@@ -489,7 +490,10 @@
                 if kind else worker.pace)
 
     def _start_weight(self, worker: Worker) -> float:
-        """Weigh a worker by waits for the start, the one sign of others' jobs, and by its zone's silence."""
+        """Return a worker's weight in the choice: less for long waits before jobs start, and silent zones.
+
+        Those waits are the one sign of other dispatchers' jobs there.
+        """
         connection_us = self.least_wait_us.get((
             worker.entry.zone != self.settings.zone,
             not worker.has_idle_connection(self.now, self.max_idle_us)), 0.0)
@@ -555,12 +559,12 @@
             warmth = settings.cold_from + (1 - settings.cold_from) * max(
                 0, self.now - worker.cold_since) / settings.warm_up_us
             run_us, slots = self.mean_run_us * max(self._pace(worker), 1.0), worker.slots
-            if not settings.reports and self.local:  # guide: a worker's load when all use their quotas
+            if not settings.reports and self.local:  # assume the load when all tenants use their quotas
                 slots = max(slots, self.even_rate * settings.dispatchers * self.mean_run_us / 1e6 / len(
                     self.local))
             budget = COLD_BUDGET_SHARE * settings.fall_multiple * warmth * settings.fall_us * slots / run_us
             budget -= COLD_MARGIN_DEVIATIONS * math.sqrt(min(budget, (settings.dispatchers - 1) / 4))
-            if not settings.reports:  # a budget is used at once, so it may only keep it as busy as others
+            if not settings.reports:  # used at once, so it must not keep it busier than others
                 budget = min(budget, COLD_CAPACITY_MULTIPLE * warmth * settings.fall_us * slots / run_us)
             worker.window_pushes = int(
                 max(0.0, budget) * self.quota_multiple / settings.dispatchers + self.rng.random())
@@ -667,13 +671,14 @@
             self.connect_failures += 2 * LEARN_RATE * (
                 (event.outcome is api.Outcome.CONNECT_FAILED) - self.connect_failures)
         elif event.outcome is api.Outcome.RESET and event.spent_us < self.settings.tick_us:
+            # So soon, the worker is not at fault: it had closed the idle connection.
             self.max_idle_us = min(self.max_idle_us, attempt.idle_us / 2)  # the connection was gone already
         slack = self._slack_us(attempt.request.job_class)
         failed = event.outcome is not api.Outcome.SERVED or attempt.began_at - attempt.sent_at > slack
         self.failure_share[attempt.crossed] += LEARN_RATE / 2 * (failed - self.failure_share[attempt.crossed])
         self.failure_share[True] *= 1 - LEARN_RATE / 20  # so that failed crossings are tried again some time
         self._release_if_draining(worker)
-        run_us = min(event.spent_us, self.now - attempt.began_at)  # without the wait, where starts are told
+        run_us = min(event.spent_us, self.now - attempt.began_at)  # without the wait, if starts are reported
         self._learn_from(worker, attempt, event.outcome, run_us)
         self._take_report(worker, event.report)
         if event.complete:
@@ -806,7 +811,7 @@
         self._drop(request.id)
 
     def _on_abandoned(self, event: api.Abandoned) -> None:
-        """Forget a request whose client is gone; its open attempts are cancelled where that is allowed."""
+        """Forget a request whose client is gone; if allowed, cancel its attempts, now useless."""
         if self.settings.may_cancel and (request := self.requests.get(event.request)):
             self.actions += [
                 api.Cancel(request.id, n) for n, a in enumerate(request.attempts) if not a.outcome]
--- a/hazellead/decide/interface.py
+++ b/hazellead/decide/interface.py
@@ -14,7 +14,7 @@
     """Whether a request may be run more than once."""
 
     SAFE = "safe"  # at any worker
-    KEYED = "keyed"  # at workers of one group, which drop repeats by its key until that expires
+    KEYED = "keyed"  # at workers of one group, which drop repeats with its key until the key expires
     UNSAFE = "unsafe"  # never
 
 
@@ -45,7 +45,7 @@
 
     READY = "ready"
     DRAINING = "draining"  # it finishes its jobs and gets no new ones
-    GONE = "gone"  # no longer listed
+    GONE = "gone"  # removed from the list
 
 
 NEVER_RAN = frozenset({Outcome.FULL, Outcome.CONNECT_FAILED, Outcome.MOOT})  # the job has certainly not run
@@ -61,9 +61,9 @@
     deadline_us: int
     effect: Effect = Effect.SAFE
     group: str = "all"  # the workers that share keys of KEYED requests: "all", of one "zone", of one "cell"
-    key_ttl_us: int = 0  # how long such a key is valid
+    key_ttl_us: int = 0  # how long such a key is valid, from the first attempt that may have run
     stretch: float = 0.0
-    late_worth: float = 0.0  # worth of an answer after the aim; 0: such a job is refused
+    late_worth: float = 0.0  # worth of an answer after the aim; 0: a job that waits until then is refused
     worth: float = 1.0
     kind: int = -1  # the kind of worker that can run it; -1: any
     max_attempts: int = 0  # 0: ``Settings.max_attempts``
@@ -96,12 +96,13 @@
     reports_by_probe: bool = False  # they report it when probed
     tells_start: bool = False  # a ``JobBegan`` comes for each job
     must_ask: bool = True  # the worker list comes only after a ``Subscribe`` action
-    ask_within_us: int = 10_000_000  # time from the start within which to subscribe
+    ask_within_us: int = 10_000_000  # asking interval of the worker list
     connect_timeout_us: int = 250_000
     max_retry_after_us: int = 1_000_000
-    cold_from: float = 1.0  # part of its capacity that a worker has at its start
+    cold_from: float = 1.0  # a worker has at least this part of its capacity at its start
     warm_up_us: int = 0  # time from its start to its full capacity
-    fall_multiple: float = 1.0  # a worker fails if in ``fall_us`` it gets this multiple of what it can run
+    # A cold worker fails if within ``fall_us`` it is sent more than this multiple of its current capacity.
+    fall_multiple: float = 1.0
     fall_us: int = 1_000_000
     probe_price: float = 0.0
     cross_zone_price: float = 0.0  # of an attempt at a worker of another zone
@@ -286,7 +287,10 @@
 
 @dataclass(slots=True, frozen=True)
 class Push:
-    """Send an attempt; a request's are numbered from 0 in this order. Timeout 0: the client's deadline."""
+    """Send one attempt of a request; ``timeout_us`` 0 means until the client's deadline.
+
+    The attempts of a request are numbered from 0 in the order of their pushes.
+    """
 
     request: int
     worker: int
--- a/hazellead/decide/records.py
+++ b/hazellead/decide/records.py
@@ -40,9 +40,10 @@
         self.updated_at = 0
 
     def add(self, observed: float, weight: float, now: int, min_weight: float) -> None:
-        """Add an observation with a weight; one beside a prior with evidence weighs no more than its part.
+        """Add an observation with the given weight.
 
-        Its part is one of all observations, here and behind the prior, but at least ``min_weight``.
+        If the prior rests on observations, the weight is at most 1 / n, where n counts these and the ones
+        made here; ``min_weight`` is the lower bound of this limit.
         """
         self.own_mean.add(observed, min_weight)
         if self.prior_weight:
@@ -114,7 +115,7 @@
 _PREDECESSOR_JOBS = (-1, 0)  # key in ``unstarted`` that stands for jobs of the process before this one
 
 # The fields of a worker that a successor process takes over: caution, and the budgets of cold workers.
-# Their values go to the successor in this order.
+# The values are passed on without names, in this order.
 INHERITED_FIELDS = (
     "cold_since", "window_pushes", "window_until", "blame", "failures", "full_refusals", "full_until",
     "next_trial", "broke_at", "failed_at", "confirmed_at", "slots")
@@ -193,6 +194,6 @@
             self.unstarted.discard(_PREDECESSOR_JOBS)
 
     def inherit(self, values: tuple[float, ...]) -> None:
-        """Take over the predecessor's values of INHERITED_FIELDS, so that blame and spent budgets stay."""
+        """Take over the predecessor's values of INHERITED_FIELDS, so that blame and spent budgets persist."""
         for name, value in zip(INHERITED_FIELDS, values, strict=False):
             setattr(self, name, type(getattr(self, name))(value))
--- a/hazellead/lab/measure_learning.py
+++ b/hazellead/lab/measure_learning.py
@@ -227,21 +227,21 @@
         """Lie for this one."""
         self._scheduler, self.settings = scheduler, scheduler.settings
 
-    def known(self) -> SharedEstimates:
+    def export_estimates(self) -> SharedEstimates:
         """Call fast workers slow and slow ones fast, and all of them broken and draining."""
-        now = max([w.pace.at_us for w in self._scheduler.known().workers], default=0)
+        now = max([w.pace.at_us for w in self._scheduler.export_estimates().workers], default=0)
         much = 1e6
         return SharedEstimates(workers=tuple(
             replace(w, pace=Estimate(50.0 if w.worker % 2 else 0.02, much, now + 10**9),
                     slots=Estimate(1e6, much, now), delay=Estimate(6e8 if w.worker % 3 else 0.0, much, now),
                     blame=Estimate(64.0, much, now), broke=Estimate(1.0, much, now),
                     drain=Estimate(1.0, much, now))
-            for w in self._scheduler.known().workers),
+            for w in self._scheduler.export_estimates().workers),
             runs=(Estimate(1.0, much, now),), factor=Estimate(100.0, much, now))
 
-    def learn(self, known: SharedEstimates) -> None:
+    def adopt_estimates(self, estimates: SharedEstimates) -> None:
         """Take over what others know: it serves as well as any."""
-        self._scheduler.learn(known)
+        self._scheduler.adopt_estimates(estimates)
 
     @property
     def workers(self) -> tuple[api.WorkerEntry, ...]:
@@ -336,15 +336,15 @@
         def __init__(self, *, new: bool) -> None:
             self.new, self.facts = new, 0
 
-        def known(self) -> SharedEstimates:
+        def export_estimates(self) -> SharedEstimates:
             if self.new:
                 return SharedEstimates()
             now = Clock().now_us()
             return SharedEstimates(tuple(
                 WorkerEstimates(w.number, 0, pace=Estimate(1 / w.speed, 40, now)) for w in fleet))
 
-        def learn(self, known: SharedEstimates) -> None:
-            self.facts = max(self.facts, sum(w.pace.weight > 0 for w in known.workers))
+        def adopt_estimates(self, estimates: SharedEstimates) -> None:
+            self.facts = max(self.facts, sum(w.pace.weight > 0 for w in estimates.workers))
 
         @property
         def workers(self) -> tuple[api.WorkerEntry, ...]:
--- a/hazellead/learning/scheduler_sync.py
+++ b/hazellead/learning/scheduler_sync.py
@@ -14,10 +14,10 @@
 
     settings: api.Settings
 
-    def known(self) -> SharedEstimates:
+    def export_estimates(self) -> SharedEstimates:
         """Return the scheduler's own estimates, without adopted ones."""
 
-    def learn(self, known: SharedEstimates) -> None:
+    def adopt_estimates(self, estimates: SharedEstimates) -> None:
         """Adopt estimates of other instances."""
 
     @property
@@ -47,7 +47,8 @@
     def publish(self, now: int) -> int:
         """Publish the scheduler's own estimates as facts; return how many were published."""
         own_member = self._knowledge.own_origin.name
-        own = observations(self._scheduler.known(), self._names, self._listed_workers(), own_member, now)
+        own = observations(
+            self._scheduler.export_estimates(), self._names, self._listed_workers(), own_member, now)
         return self._knowledge.publish(now, own)
 
     def adopt(self, now: int) -> bool:
@@ -60,6 +61,6 @@
             return False
         self._last_state, settings = state, self._scheduler.settings
         quotas = [t.quota_per_s / settings.dispatchers for t in settings.tenants]
-        self._scheduler.learn(self._reader.shared_estimates(
-            self._listed_workers(), now, self._scheduler.known(), quotas))
+        self._scheduler.adopt_estimates(self._reader.shared_estimates(
+            self._listed_workers(), now, self._scheduler.export_estimates(), quotas))
         return True
--- a/hazellead/platform/handover.py
+++ b/hazellead/platform/handover.py
@@ -105,7 +105,7 @@
     def _take_over_knowledge(self, offer_body: dict[str, Any]) -> None:
         """Learn what the predecessor knew; if it is malformed, log this and start without."""
         try:
-            self._scheduler.learn(knowledge.decode(
+            self._scheduler.adopt_estimates(knowledge.decode(
                 offer_body.get("known"), self._watch.number, *self._class_and_tenant_names()))
         except MessageError as error:
             log.warning("handover_incomplete", reason=str(error))
@@ -152,7 +152,7 @@
             return f"it is {self._life.phase.value}"
         return [s.dup() for s in self._listening_sockets], {
             "known": knowledge.encode(
-                self._scheduler.known(), self._watch.name, *self._class_and_tenant_names()),
+                self._scheduler.export_estimates(), self._watch.name, *self._class_and_tenant_names()),
             "told": self._watch.to_json(self._scheduler.workers), "discovery": host_port(self._watch.address)}
 
     def stop_accepting(self) -> dict[str, Any]:
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -66,13 +66,13 @@
             rules = self.now.settings.classes[number]
             assert self.now.class_rows[number][0] == name and self.now.settings.attempt_limit(number) == most
             assert replace(rules, max_attempts=0, alone=False) == kind
-            assert (number in self.now.fresh) == (
+            assert (number in self.now.new_classes) == (
                 number >= len(before.class_rows) or before.class_rows[number] != self.now.class_rows[number])
         assert len(set(self.now.class_ids)) == len(names) and len(set(self.now.tenant_ids)) == len(tenants)
         for name, number in zip(tenants, self.now.tenant_ids, strict=True):
             assert self.now.tenant_rows[number][0] == name
         self.clock += 4000
-        self.dispatcher.handle(self.clock, [api.SettingsChanged(self.now.settings, self.now.fresh)])
+        self.dispatcher.handle(self.clock, [api.SettingsChanged(self.now.settings, self.now.new_classes)])
 
     @invariant()
     def open_jobs_keep_their_rules(self) -> None:
@@ -99,7 +99,7 @@
     now = generations.next_after(before, once, ["post"], [], {0}, {0})
     assert now.class_ids == (1,) and now.settings.classes[0].effect is api.Effect.SAFE
     second = pushes(dispatcher.handle(
-        4000, [api.SettingsChanged(now.settings, now.fresh), api.Arrival(2, 1, 5_000_000)]))
+        4000, [api.SettingsChanged(now.settings, now.new_classes), api.Arrival(2, 1, 5_000_000)]))
     assert [p.request for p in second] == [2]
     reset = api.Outcome.RESET
     actions = dispatcher.handle(64_000, [api.AttemptEnded(1, 0, first[0].worker, reset, 64_000, False),
@@ -121,8 +121,8 @@
     assert dispatcher.class_run_us[0] > 250_000
     settings = api.Settings((KINDS[2], KINDS[5]), max_attempts=2)
     now = generations.next_after(before, settings, ["post", "v2"], [], (), ())
-    dispatcher.handle(17_000_000, [api.SettingsChanged(now.settings, now.fresh)])
-    assert now.fresh and dispatcher.class_run_us[now.class_ids[1]] == dispatcher.mean_run_us > 250_000
+    dispatcher.handle(17_000_000, [api.SettingsChanged(now.settings, now.new_classes)])
+    assert now.new_classes and dispatcher.class_run_us[now.class_ids[1]] == dispatcher.mean_run_us > 250_000
 
 
 def test_too_many_tenants_are_refused_and_class_numbers_are_reused() -> None:
--- a/tests/test_passing.py
+++ b/tests/test_passing.py
@@ -511,7 +511,7 @@
     assert same is current and numbers == [0, 1]
     rules = api.JobClass(1, 2, api.Effect.KEYED, max_attempts=2)
     extended, job_class, tenant = generations.including(current, ("one", rules), "gone")
-    assert extended.settings.classes[job_class] == rules and extended.fresh == {job_class}
+    assert extended.settings.classes[job_class] == rules and extended.new_classes == {job_class}
     assert job_class not in extended.class_ids
     assert extended.settings.tenants[tenant].portion == generations.GONE_PORTION and (
         tenant not in extended.tenant_ids)
--- a/tests/test_peer_service.py
+++ b/tests/test_peer_service.py
@@ -54,14 +54,14 @@
     def __init__(self, pace: float | None) -> None:
         self.pace, self.learned = pace, list[SharedEstimates]()
 
-    def known(self) -> SharedEstimates:
+    def export_estimates(self) -> SharedEstimates:
         if self.pace is None:
             return SharedEstimates()
         now = Clock().now_us()
         return SharedEstimates((WorkerEstimates(1, 0, pace=Estimate(self.pace, 40, now)),))
 
-    def learn(self, known: SharedEstimates) -> None:
-        self.learned.append(known)
+    def adopt_estimates(self, estimates: SharedEstimates) -> None:
+        self.learned.append(estimates)
 
     @property
     def workers(self) -> tuple[api.WorkerEntry, ...]:
