--- a/hazellead/core/lease.py
+++ b/hazellead/core/lease.py
@@ -91,7 +91,7 @@
             self._move_until = max(self._move_until, at + self.terms.move)
 
     def live_watch_refused(self, at: datetime) -> None:
-        """Record that discovery refused a live watch; such calls do not queue, so there is no overload."""
+        """Record a refused call on a live watch: such calls do not queue, so it is no sign of an overload."""
         self._outage = True
         self._extend(at)
 
--- a/hazellead/decide/dispatcher.py
+++ b/hazellead/decide/dispatcher.py
@@ -36,7 +36,7 @@
 KIND_WEIGHT_RUN_TIMES = 12  # without hints, a kind's pace weighs as much as this many of a worker's run times
 LEARN_RATE = 0.1  # weight of the newest observation in running averages
 SILENCE_RUN_TIMES = 4.0  # mean run times of unanswered work that make a worker silent, an attempt overdue
-TRIAL_DOUBT = 0.25  # doubt from which only trial jobs are sent; success halves blame, failure halves it, plus 1
+TRIAL_DOUBT = 0.25  # doubt from which only trial jobs are sent; outcomes halve blame, a failure then adds 1
 FIRST_RESET_BLAME = 0.15  # blame for a first broken connection; below TRIAL_DOUBT
 COLD_BUDGET_SHARE = 0.6  # part of a cold worker's budget that is used
 COLD_CAPACITY_MULTIPLE = 1.7  # cap of its budget without reports, over its minimum capacity: most can do more
@@ -122,7 +122,7 @@
         # By class: mean run time, perhaps adopted from others; the same of runs seen here alone; number of
         # runs behind the mean; longest time left at an arrival, which is that of a client's first try.
         self.class_run_us, self.own_run_us = list[float](), list[RunningMean]()
-        self.run_counts, self.full_us = list[int](), list[int]()
+        self.run_counts, self.max_left_us = list[int](), list[int]()
         self._on_settings_changed(api.SettingsChanged(settings))
         self.start_rate = self.rate = self.even_rate or 1e6 / settings.tick_us  # tokens a second
         # The rate over this dispatcher's part of the quotas; that part over an even split among dispatchers.
@@ -138,8 +138,8 @@
         self.mean_run_us = sum(self.class_run_us) / len(self.class_run_us)
         # Last addition of tokens, resizing of throttles, empty bank; when the timer and a list call are due.
         self.now = self.accrued_at = self.resized_at = self.emptied_at = self.timer_at = self.ask_at = -1
-        # The last two: this step found no worker for a paid first attempt, so that no tokens are added; for a
-        # job that may go anywhere, so that no further search is made for such jobs.
+        # The last two: no worker was found for a paid first attempt (no tokens are added then); for a job
+        # that may go anywhere (none is searched for others then). Both are reset in each step.
         self.list_failures, self.open_probes, self.probed_at, self.paid_stuck, self.all_stuck = (
             0, 0, -1, False, False)
         self.leased = True  # the worker list may be acted on
@@ -217,7 +217,7 @@
             if c == len(self.run_counts) or c in event.new_classes:
                 run_us = self.mean_run_us if runs else float(max(job_class.aim_us, settings.tick_us))
                 self.class_run_us[c:c + 1], self.own_run_us[c:c + 1] = [run_us], [RunningMean(0.0, 0)]
-                self.run_counts[c:c + 1], self.full_us[c:c + 1] = [runs], [0]
+                self.run_counts[c:c + 1], self.max_left_us[c:c + 1] = [runs], [0]
 
     # Exchange of estimates with other dispatchers; hazellead/learning weighs what comes from them.
 
@@ -286,9 +286,10 @@
         self.probe_budget = min(self.probe_budget + PROBE_POINTS_PER_REQUEST / max(
             settings.probe_price, PROBE_POINTS_PER_REQUEST / 10), 100.0)
         # A client's later tries have less time left: its aim runs from the first, and may be over already.
-        full = self.full_us[event.job_class] = max(self.full_us[event.job_class], event.remaining_us)
-        late_at = (deadline := self.now + event.remaining_us) - full + self._slack_us(event.job_class)
-        tenant.demand_slots += event.slots if event.remaining_us > 0.9 * full else 0.0
+        max_left_us = self.max_left_us[event.job_class] = max(
+            self.max_left_us[event.job_class], event.remaining_us)
+        late_at = (deadline := self.now + event.remaining_us) - max_left_us + self._slack_us(event.job_class)
+        tenant.demand_slots += event.slots if event.remaining_us > 0.9 * max_left_us else 0.0
         self.widest_slots = max(self.widest_slots, event.slots)
         late_at = useless_at = min(late_at, deadline - 2 * settings.tick_us)
         if settings.classes[event.job_class].late_worth > 0:
@@ -398,19 +399,19 @@
             subsets = [self.rng.sample(pool, SAMPLE_SIZE)] if len(pool) > SAMPLE_SIZE else []
             if self.cold:  # no report tells that a cold worker is free; its budget would go unused
                 subsets = [[w for w in self.cold if self._cold_budget_left(w) and w in pool], *subsets]
-            # An open connection spares a handshake, and serves where tables are full or new ones fail.
+            # An open connection spares a handshake, and works where tables are full or connects fail.
             if settings.handshake_price > 0 or self.connect_failures > CONNECT_FAILURE_LIMIT:
                 subsets = [[w for w in pool if w.has_idle_connection(self.now, 0.9 * self.max_idle_us)]]
             for subset in (*subsets, pool):
-                fits = self._candidates(request, subset, TRIAL_DOUBT, may_guess)
-                if not fits and subset is pool and (limit := self._doubt_limit()) > TRIAL_DOUBT:
-                    fits = self._candidates(request, subset, limit, may_guess)
+                candidates = self._candidates(request, subset, TRIAL_DOUBT, may_guess)
+                if not candidates and subset is pool and (limit := self._doubt_limit()) > TRIAL_DOUBT:
+                    candidates = self._candidates(request, subset, limit, may_guess)
                 if probe_first:  # only workers whose free slot was reported just now
-                    fits = [f for f in fits if self.now - f[0].reported_at < self.probe_valid_us]
-                if fits:
+                    candidates = [c for c in candidates if self.now - c[0].reported_at < self.probe_valid_us]
+                if candidates:
                     weights = [free / max(self._pace(w), LEARN_RATE) ** speed_exponent * self._start_weight(w)
-                               for w, free in fits]
-                    return self.rng.choices(fits, weights)[0][0]
+                               for w, free in candidates]
+                    return self.rng.choices(candidates, weights)[0][0]
             if probe_first and self._probe_some(pool):
                 return None
             wait = min(0.5, CROSS_ZONE_PATIENCE * settings.cross_zone_price) * slack
@@ -490,10 +491,7 @@
                 if kind else worker.pace)
 
     def _start_weight(self, worker: Worker) -> float:
-        """Return a worker's weight in the choice: less for long waits before jobs start, and silent zones.
-
-        Those waits are the one sign of other dispatchers' jobs there.
-        """
+        """Return a worker's weight, by waits for starts (which show others' jobs) and its zone's silence."""
         connection_us = self.least_wait_us.get((
             worker.entry.zone != self.settings.zone,
             not worker.has_idle_connection(self.now, self.max_idle_us)), 0.0)
@@ -671,8 +669,7 @@
             self.connect_failures += 2 * LEARN_RATE * (
                 (event.outcome is api.Outcome.CONNECT_FAILED) - self.connect_failures)
         elif event.outcome is api.Outcome.RESET and event.spent_us < self.settings.tick_us:
-            # So soon, the worker is not at fault: it had closed the idle connection.
-            self.max_idle_us = min(self.max_idle_us, attempt.idle_us / 2)  # the connection was gone already
+            self.max_idle_us = min(self.max_idle_us, attempt.idle_us / 2)  # at once: the connection was gone
         slack = self._slack_us(attempt.request.job_class)
         failed = event.outcome is not api.Outcome.SERVED or attempt.began_at - attempt.sent_at > slack
         self.failure_share[attempt.crossed] += LEARN_RATE / 2 * (failed - self.failure_share[attempt.crossed])
--- a/hazellead/limits.py
+++ b/hazellead/limits.py
@@ -16,14 +16,14 @@
     "drain_grace")
 
 
-def _shutdown_answer(longest: timedelta) -> timedelta:
+def _shutdown_answer(longest_deadline: timedelta) -> timedelta:
     """Return the time from SIGTERM to the last answer, given the longest deadline of all classes."""
-    return min(longest, _LONGEST_DEADLINE) + _KILL - _SPARE
+    return min(longest_deadline, _LONGEST_DEADLINE) + _KILL - _SPARE
 
 
-def _shutdown_accept(longest: timedelta) -> timedelta:
+def _shutdown_accept(longest_deadline: timedelta) -> timedelta:
     """Return how long jobs are accepted after SIGTERM, so that the last one has enough time left."""
-    return _shutdown_answer(longest) - min(longest, _LAST_JOB)
+    return _shutdown_answer(longest_deadline) - min(longest_deadline, _LAST_JOB)
 
 
 @dataclass(slots=True, frozen=True)
@@ -105,9 +105,9 @@
     process_stall: timedelta = timedelta(milliseconds=150)
     transit: timedelta = timedelta(milliseconds=50)
     first_list: timedelta = timedelta(seconds=4)  # how long a new process delays being ready
-    # After a quiesce: the delay before idle connections are closed, since the platform's front end polls ten
-    # times a second and goes on sending for 0.2 s; and how long jobs are accepted, so that 4 s after the
-    # quiesce no open job was accepted in the last 2 s.
+    # After a quiesce: when idle connections begin to be closed, since the front polls ten times a second and
+    # goes on for 0.2 s; and how long jobs are accepted, so that 4 s after the quiesce no open job was
+    # accepted in the last 2 s.
     drain_settle: timedelta = timedelta(milliseconds=500)
     drain_accept: timedelta = timedelta(milliseconds=1800)
     drain_poll: timedelta = timedelta(milliseconds=100)  # between checks for connections that became idle
@@ -126,8 +126,8 @@
 
     @staticmethod
     def fit(
-        sockets: int, memory_mb: int, most_held: int, connect: timedelta, worker_idle: timedelta, *,
-        longest: timedelta = _LONGEST_DEADLINE, most_wait: timedelta = timedelta(seconds=1),
+        sockets: int, memory_mb: int, max_requests: int, connect: timedelta, worker_idle: timedelta, *,
+        longest_deadline: timedelta = _LONGEST_DEADLINE, max_retry_after: timedelta = timedelta(seconds=1),
         drain_grace: timedelta = timedelta(milliseconds=400), gearman: bool = False, console: bool = False,
     ) -> "Limits":
         """Divide descriptors and memory, with a reserve for refusals, discovery, the log and the console."""
@@ -141,14 +141,14 @@
             gearman_connections=clients // 2 if gearman else 0,
             worker_connections=usable - clients,
             # Fewer requests than connections, since a refused client still needs one for its answer.
-            requests=max(1, min(most_held, clients)),
+            requests=max(1, min(max_requests, clients)),
             connect=connect,
             watch_grace=connect,
             drain_grace=drain_grace,
-            shutdown_accept=_shutdown_accept(longest),
-            shutdown_answer=_shutdown_answer(longest),
+            shutdown_accept=_shutdown_accept(longest_deadline),
+            shutdown_answer=_shutdown_answer(longest_deadline),
             worker_idle=min(worker_idle * 2 / 3, timedelta(seconds=10)),
-            busy_retry=min(timedelta(seconds=1), most_wait),
+            busy_retry=min(timedelta(seconds=1), max_retry_after),
         )
 
     def with_settings_times(self, other: "Limits") -> "Limits":
--- a/hazellead/platform/config.py
+++ b/hazellead/platform/config.py
@@ -171,8 +171,8 @@
     connect, idle = from_us(settings.connect_timeout_us), from_us(settings.conn_idle_us)
     longest = from_us(max(c.deadline_us for c in settings.classes))
     return Limits.fit(
-        sockets, memory_mb, most_held, connect, idle, longest=longest,
-        most_wait=from_us(settings.max_retry_after_us), drain_grace=from_us(settings.drain_grace_us),
+        sockets, memory_mb, most_held, connect, idle, longest_deadline=longest,
+        max_retry_after=from_us(settings.max_retry_after_us), drain_grace=from_us(settings.drain_grace_us),
         gearman=gearman, console=console)
 
 
--- a/tests/test_dispatcher.py
+++ b/tests/test_dispatcher.py
@@ -152,7 +152,7 @@
 
 
 def test_a_worker_once_reported_full_by_others_is_used_again() -> None:
-    """A report of other dispatchers' jobs was trusted without end: workers in use fell from 18 to 4."""
+    """A report of other dispatchers' jobs was trusted forever: workers in use fell from 18 to 4."""
     referee = Referee(replace(BASE, dispatchers=3))
     referee.play(fleet(1))
     for number in range(12):
@@ -474,7 +474,7 @@
 
 
 def test_long_idle_connections_are_replaced_once_one_has_brought_no_answer() -> None:
-    """Idle connections were dropped without notice: a sixth of all tries, but no probe, actions no answer."""
+    """Idle connections were dropped without notice: a sixth of all tries got no answer; probes did."""
     base = replace(BASE, tenants=(), handshake_price=0.03, conn_idle_us=10_000_000)
     referee = Referee(base)
     referee.play(fleet(1))
@@ -646,7 +646,7 @@
 
 
 def test_workers_listed_as_gone_that_still_serve_are_used() -> None:
-    """A list left out 30 of 64 workers that still served; the others were overrun for ten seconds."""
+    """A list gave 30 of 64 workers as gone that still served; the others were overrun for ten seconds."""
     sent = []
     for base in (DRAIN_BINDS_ALONE, replace(DRAIN_BINDS_ALONE, drain_binds_alone=False)):
         referee = Referee(base)
@@ -699,7 +699,7 @@
 
 
 def test_unproven_workers_get_no_job_before_they_answer_a_probe() -> None:
-    """33 listed workers that served no jobs got 27% of all attempts: each of 101 dispatchers tried each."""
+    """33 entries that were not of this fleet got 27% of attempts: each of 101 dispatchers tried each."""
     referee = Referee(replace(NO_REPORTS, may_probe=True, probe_price=0.002))
     referee.play(fleet(2))
     referee.play(changes(*(entry(w) for w in range(10, 40))))
@@ -793,7 +793,7 @@
 
 
 def test_open_connections_come_first_while_connects_fail() -> None:
-    """86% of attempts actions no connection, at all workers alike, while open connections worked."""
+    """86% of attempts got no connection, at all workers alike, while open connections worked."""
     referee = Referee(NO_REPORTS)
     referee.play(fleet(20))
     (push,) = pushes(referee.play(api.Arrival(1, 2, 5_000_000)))
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -36,35 +36,36 @@
         self.dispatcher = Dispatcher(self.now.settings, 1)
         self.clock = 0
 
-    @rule(at=st.integers(0, 9))
-    def submit(self, at: int) -> None:
-        at %= len(self.names)
-        number = self.now.class_ids[at]
+    @rule(pick=st.integers(0, 9))
+    def submit(self, pick: int) -> None:
+        pick %= len(self.names)
+        number = self.now.class_ids[pick]
         self.open_jobs.append((number, self.now.tenant_ids[0], self.now.settings.classes[number],
                                self.now.settings.attempt_limit(number)))
         self.clock += 4000
         self.dispatcher.handle(
             self.clock, [api.Arrival(len(self.open_jobs), number, 900_000, self.now.tenant_ids[0])])
 
-    @rule(at=st.integers(0, 9))
-    def end(self, at: int) -> None:
+    @rule(pick=st.integers(0, 9))
+    def end(self, pick: int) -> None:
         if self.open_jobs:
-            del self.open_jobs[at % len(self.open_jobs)]
+            del self.open_jobs[pick % len(self.open_jobs)]
 
     @rule(names=st.lists(st.sampled_from(["post", "refund", "x", "y"]), min_size=1, unique=True),
-          kinds=st.lists(st.sampled_from(KINDS), min_size=4, max_size=4), most=st.integers(1, 3),
+          kinds=st.lists(st.sampled_from(KINDS), min_size=4, max_size=4), attempts=st.integers(1, 3),
           tenants=st.lists(st.sampled_from(TENANTS), min_size=1, unique=True))
-    def reload(self, names: list[str], kinds: list[api.JobClass], most: int, tenants: list[str]) -> None:
+    def reload(self, names: list[str], kinds: list[api.JobClass], attempts: int, tenants: list[str]) -> None:
         before = self.now
         settings = api.Settings(tuple(kinds[:len(names)]), tuple(api.Tenant(0.5, 10) for _ in tenants),
-                                max_attempts=most)
+                                max_attempts=attempts)
         self.now = generations.next_after(before, settings, names, tenants, {n for n, *_ in self.open_jobs},
                                           {t for _, t, *_ in self.open_jobs})
         self.names = names
         assert self.now.number == before.number + 1
         for name, kind, number in zip(names, kinds, self.now.class_ids, strict=False):
             rules = self.now.settings.classes[number]
-            assert self.now.class_rows[number][0] == name and self.now.settings.attempt_limit(number) == most
+            assert (self.now.class_rows[number][0] == name
+                    and self.now.settings.attempt_limit(number) == attempts)
             assert replace(rules, max_attempts=0, alone=False) == kind
             assert (number in self.now.new_classes) == (
                 number >= len(before.class_rows) or before.class_rows[number] != self.now.class_rows[number])
--- a/tests/test_learning.py
+++ b/tests/test_learning.py
@@ -185,7 +185,7 @@
     assert late.own_estimate() == plain.own_estimate() and late.own_estimate().weight == len(observed)
 
 
-def known(*workers: WorkerEstimates) -> SharedEstimates:
+def shared(*workers: WorkerEstimates) -> SharedEstimates:
     return SharedEstimates(workers=workers)
 
 
@@ -197,7 +197,7 @@
 
 def test_estimates_of_another_run_of_a_worker_are_ignored() -> None:
     d, estimate = dispatcher(started_us=5), Estimate(3.0, 20.0, NOW)
-    d.adopt_estimates(known(WorkerEstimates(1, 4, pace=estimate), WorkerEstimates(2, 5, pace=estimate),
+    d.adopt_estimates(shared(WorkerEstimates(1, 4, pace=estimate), WorkerEstimates(2, 5, pace=estimate),
                   WorkerEstimates(99, 5, pace=estimate)))
     assert d.workers[1].pace == 1.0 and d.workers[2].pace == 3.0 and 99 not in d.workers
 
@@ -205,12 +205,12 @@
 def test_adopted_estimates_never_end_a_workers_warm_up_but_can_restart_it() -> None:
     d = dispatcher(started_us=NOW - S)
     before = d.workers[1].cold_since
-    d.adopt_estimates(known(WorkerEstimates(1, NOW - S, broke=Estimate(1.0, 1.0, NOW - 2 * S),
+    d.adopt_estimates(shared(WorkerEstimates(1, NOW - S, broke=Estimate(1.0, 1.0, NOW - 2 * S),
                                   slots=Estimate(1000.0, 9.0, NOW))))
     assert d.workers[1].cold_since == before and d.workers[1].slots < 1000
-    d.adopt_estimates(known(WorkerEstimates(1, NOW - S, broke=Estimate(1.0, 1.0, NOW))))
+    d.adopt_estimates(shared(WorkerEstimates(1, NOW - S, broke=Estimate(1.0, 1.0, NOW))))
     assert d.workers[1].cold_since == NOW
-    d.adopt_estimates(known(WorkerEstimates(2, NOW - S, broke=Estimate(1.0, 1.0, NOW + 10**12))))
+    d.adopt_estimates(shared(WorkerEstimates(2, NOW - S, broke=Estimate(1.0, 1.0, NOW + 10**12))))
     assert d.workers[2].cold_since == before  # a time in the future is ignored
 
 
@@ -221,14 +221,14 @@
     events = [api.Arrival(i, 2, 5 * S) for i in range(1, 4)]
     sent = {a.worker for a in d.handle(NOW + 4000, events) if isinstance(a, api.Push)}
     assert sent == {4}
-    d.adopt_estimates(known())
+    d.adopt_estimates(shared())
     more = [api.Arrival(i, 2, 5 * S) for i in range(10, 14)]
     assert {a.worker for a in d.handle(NOW + 2 * S, more) if isinstance(a, api.Push)} - {4}
 
 
 def test_adopted_estimates_never_make_a_draining_or_unlisted_worker_eligible() -> None:
     d = dispatcher(phase=api.Phase.DRAINING)  # type: ignore[arg-type]
-    d.adopt_estimates(known(*(WorkerEstimates(w, 0, pace=Estimate(0.1, 99, NOW)) for w in range(1, 9))))
+    d.adopt_estimates(shared(*(WorkerEstimates(w, 0, pace=Estimate(0.1, 99, NOW)) for w in range(1, 9))))
     assert not [a for a in d.handle(NOW + 4000, [api.Arrival(1, 2, 5 * S)]) if isinstance(a, api.Push)]
 
 
--- a/tests/test_scheduler.py
+++ b/tests/test_scheduler.py
@@ -82,15 +82,15 @@
         self.replies[number] = reply
         return number
 
-    @rule(which=st.integers(0, 20), outcome=st.sampled_from(ENDS))
-    def end(self, which: int, outcome: api.Outcome) -> None:  # may end the same attempt twice
+    @rule(pick=st.integers(0, 20), outcome=st.sampled_from(ENDS))
+    def end(self, pick: int, outcome: api.Outcome) -> None:  # may end the same attempt twice
         if self.worker.sent:
-            self.worker.sent[which % len(self.worker.sent)].end(outcome, b"x")
+            self.worker.sent[pick % len(self.worker.sent)].end(outcome, b"x")
 
-    @rule(which=st.integers(0, 20))
-    def begin(self, which: int) -> None:
+    @rule(pick=st.integers(0, 20))
+    def begin(self, pick: int) -> None:
         if self.worker.sent:
-            self.worker.sent[which % len(self.worker.sent)].began()
+            self.worker.sent[pick % len(self.worker.sent)].began()
 
     @rule(number=consumes(submitted))
     def abandon(self, number: int) -> None:
