--- a/hazellead/core/jobs.py
+++ b/hazellead/core/jobs.py
@@ -157,7 +157,7 @@
 
 
 class WorkerTransport(Protocol):
-    """Sends attempts to workers; calls ``end`` on each one that is not given up first."""
+    """Sends attempts to workers; calls ``end`` on each attempt unless ``give_up`` was called first."""
 
     def send(self, attempt: Attempt) -> None:
         """Start sending an attempt."""
--- a/hazellead/learning/conversion.py
+++ b/hazellead/learning/conversion.py
@@ -120,7 +120,7 @@
         return Estimate(value, weight, newest)
 
     def _agreed_caution(self, topic: Topic, listed: ListedWorker, now: int, sources: int) -> Estimate:
-        """Return the second highest value if enough members agree, else an estimate of weight 0."""
+        """Return the second highest value, or the only one, if enough members agree; else weight 0."""
         found = self._remote_values(topic, listed.name, listed.started_us, now)
         weights = {name: max(s.weight for s, _ in rows) for name, rows in found.items()}
         if not found or not enough_sources_agree(weights, sources):
@@ -162,7 +162,7 @@
             factor=self.estimate(Topic.FACTOR, "", 0, now, defaults.factor.value))
 
     def _pace_by_kind(self, workers: Sequence[ListedWorker], now: int) -> dict[int, float]:
-        """Return the mean pace of each kind of worker, the default for workers without facts."""
+        """Return the mean pace of each kind of worker, which also stands in for workers without facts."""
         sums: dict[int, list[float]] = {}
         for w in workers:
             e = self.estimate(Topic.PACE, w.name, w.started_us, now, 1.0, 0.0)
