--- a/hazellead/decide/dispatcher.py
+++ b/hazellead/decide/dispatcher.py
@@ -138,8 +138,8 @@
         self.mean_run_us = sum(self.class_run_us) / len(self.class_run_us)
         # Last addition of tokens, resizing of throttles, empty bank; when the timer and a list call are due.
         self.now = self.accrued_at = self.resized_at = self.emptied_at = self.timer_at = self.ask_at = -1
-        # The last two: no worker was found for a paid first attempt (no tokens are added then); for a job
-        # that may go anywhere (none is searched for others then). Both are reset in each step.
+        # The last two: this step found no worker for a paid first attempt, so that no tokens are added; for a
+        # job that may go anywhere, so that no worker is sought for others of that sort.
         self.list_failures, self.open_probes, self.probed_at, self.paid_stuck, self.all_stuck = (
             0, 0, -1, False, False)
         self.leased = True  # the worker list may be acted on
@@ -491,7 +491,7 @@
                 if kind else worker.pace)
 
     def _start_weight(self, worker: Worker) -> float:
-        """Return a worker's weight, by waits for starts (which show others' jobs) and its zone's silence."""
+        """Return a worker's weight: by waits for starts, the one sign of others' jobs, and zone silence."""
         connection_us = self.least_wait_us.get((
             worker.entry.zone != self.settings.zone,
             not worker.has_idle_connection(self.now, self.max_idle_us)), 0.0)
--- a/hazellead/learning/store.py
+++ b/hazellead/learning/store.py
@@ -108,8 +108,8 @@
             priority = change + more_evidence
         else:
             priority = 2.0
-        # A few witnesses of one value are enough. Only facts about the same start of a worker count, so the
-        # first observations after a restart are always published.
+        # A few witnesses of one value are enough. Only facts about the same start of a worker count, so
+        # after a restart its observations are published again.
         witnesses = [
             WeightedValue(f.value, w) for o, f in self._by_key.get(key, {}).items()
             if o != self.own_origin and f.worker_started_us == observation.worker_started_us
