--- a/hazellead/decide/dispatcher.py
+++ b/hazellead/decide/dispatcher.py
@@ -29,24 +29,24 @@
 SHORT_JOB_RUN_TIMES = 0.3  # length of a short job; jobs are buffered only as long as short ones can wait
 RATE_INCREASE = 0.2  # added to the rate factor per job served while throttles bind, times the free share
 RATE_DECREASE = 0.2  # share of the rate factor lost per sign of overload, times the share of busy slots
-INITIAL_RATE_FACTOR = 2.0  # overload shows within a few run times, needless refusals do not
+INITIAL_RATE_FACTOR = 2.0  # overload shows within a few run times, needless refusals never show
 MIN_RATE_FACTOR = 0.5  # the token rate never falls below this part of the starting rate
 QUOTA_HEADROOM = 1.25  # this dispatcher's part of the quotas, over the median tenant's demand per share
 DEMAND_RUN_TIMES = 40.0  # mean run times over which a tenant's demand is averaged
 KIND_WEIGHT_RUN_TIMES = 12  # without hints, a kind's pace weighs as much as this many of a worker's run times
 LEARN_RATE = 0.1  # weight of the newest observation in running averages
 SILENCE_RUN_TIMES = 4.0  # mean run times of unanswered work that make a worker silent, an attempt overdue
-TRIAL_DOUBT = 0.25  # doubt from which a worker gets trial jobs only; blame is halved, plus 1 for a failure
+TRIAL_DOUBT = 0.25  # doubt from which only trial jobs are sent; outcomes halve blame, a failure then adds 1
 FIRST_RESET_BLAME = 0.15  # blame for a first broken connection; below TRIAL_DOUBT
 COLD_BUDGET_SHARE = 0.6  # part of a cold worker's budget that is used
-COLD_CAPACITY_MULTIPLE = 1.7  # without reports: cap, over a cold worker's minimum capacity, which most exceed
+COLD_CAPACITY_MULTIPLE = 1.7  # cap of its budget without reports, over its minimum capacity: most can do more
 COLD_MARGIN_DEVIATIONS = 1.5  # standard deviations kept free in the budget: dispatchers draw independently
 COPIES_PER_PUSH = 0.1  # second copies allowed per push; each start that queueing made late takes one back
 PROBE_POINTS_PER_REQUEST = 0.01  # price points that may be spent on probes per request
 SUBSCRIBE_SPREAD_TICKS = 10  # ticks per dispatcher over which the first calls to the list service are spread
-PROBE_WAIT_SHARE, PROBES_AT_ONCE = 0.75, 3  # part of the slack a job waits for a probed free slot; probes out
-UNHEARD_FREE, UNHEARD_MAX = 2, 8  # pushes to a zone since its last sign of life: without effect, counted
-CONNECT_FAILURE_LIMIT = 0.5  # share of recent connects failing from which open connections come first
+PROBE_WAIT_SHARE, PROBES_AT_ONCE = 0.75, 3  # part of the slack that a job waits for probes; open probes
+UNHEARD_FREE, UNHEARD_MAX = 2, 8  # pushes to a zone since its last sign of life: tolerated, counted at most
+CONNECT_FAILURE_LIMIT = 0.5  # share of recent connects that fail from which idle connections come first
 SAMPLE_SIZE = 8  # workers sampled before the whole fleet is searched
 REPORT_LIFETIME_PERIODS = 4.0  # report periods without a new one after which the last counts for nothing
 FORGET_INTERVALS = 12  # asking intervals after which an unlisted worker that serves nothing is forgotten
@@ -122,7 +122,7 @@
         # By class: mean run time, perhaps adopted from others; the same of runs seen here alone; number of
         # runs behind the mean; longest time left at an arrival, which is that of a client's first try.
         self.class_run_us, self.own_run_us = list[float](), list[RunningMean]()
-        self.run_counts, self.full_us = list[int](), list[int]()
+        self.run_counts, self.max_left_us = list[int](), list[int]()
         self._on_settings_changed(api.SettingsChanged(settings))
         self.start_rate = self.rate = self.even_rate or 1e6 / settings.tick_us  # tokens a second
         # The rate over this dispatcher's part of the quotas; that part over an even split among dispatchers.
@@ -138,7 +138,8 @@
         self.mean_run_us = sum(self.class_run_us) / len(self.class_run_us)
         # Last addition of tokens, resizing of throttles, empty bank; when the timer and a list call are due.
         self.now = self.accrued_at = self.resized_at = self.emptied_at = self.timer_at = self.ask_at = -1
-        # The last two: this step found no worker for a paid first attempt; for a job that may go anywhere.
+        # The last two: this step found no worker for a paid first attempt, so that no tokens are added; for a
+        # job that may go anywhere, so that no worker is sought for others of that sort.
         self.list_failures, self.open_probes, self.probed_at, self.paid_stuck, self.all_stuck = (
             0, 0, -1, False, False)
         self.leased = True  # the worker list may be acted on
@@ -216,7 +217,7 @@
             if c == len(self.run_counts) or c in event.new_classes:
                 run_us = self.mean_run_us if runs else float(max(job_class.aim_us, settings.tick_us))
                 self.class_run_us[c:c + 1], self.own_run_us[c:c + 1] = [run_us], [RunningMean(0.0, 0)]
-                self.run_counts[c:c + 1], self.full_us[c:c + 1] = [runs], [0]
+                self.run_counts[c:c + 1], self.max_left_us[c:c + 1] = [runs], [0]
 
     # Exchange of estimates with other dispatchers; hazellead/learning weighs what comes from them.
 
@@ -285,9 +286,10 @@
         self.probe_budget = min(self.probe_budget + PROBE_POINTS_PER_REQUEST / max(
             settings.probe_price, PROBE_POINTS_PER_REQUEST / 10), 100.0)
         # A client's later tries have less time left: its aim runs from the first, and may be over already.
-        full = self.full_us[event.job_class] = max(self.full_us[event.job_class], event.remaining_us)
-        late_at = (deadline := self.now + event.remaining_us) - full + self._slack_us(event.job_class)
-        tenant.demand_slots += event.slots if event.remaining_us > 0.9 * full else 0.0
+        max_left_us = self.max_left_us[event.job_class] = max(
+            self.max_left_us[event.job_class], event.remaining_us)
+        late_at = (deadline := self.now + event.remaining_us) - max_left_us + self._slack_us(event.job_class)
+        tenant.demand_slots += event.slots if event.remaining_us > 0.9 * max_left_us else 0.0
         self.widest_slots = max(self.widest_slots, event.slots)
         late_at = useless_at = min(late_at, deadline - 2 * settings.tick_us)
         if settings.classes[event.job_class].late_worth > 0:
@@ -325,7 +327,7 @@
 
     def _add_tokens(self) -> None:
         """Add the tokens due; what overflows full banks goes to tenants with unpaid jobs, by share."""
-        # While a paid job finds every worker full, more tokens would only move the queue behind the throttle.
+        # While a paid job finds every worker full, more tokens would only lengthen the queue of paid jobs.
         paused = self.paid_stuck or not self.leased
         passed, self.accrued_at, spare = 0 if paused else self.now - self.accrued_at, self.now, 0.0
         if self.now - self.resized_at > self.mean_run_us:
@@ -397,19 +399,19 @@
             subsets = [self.rng.sample(pool, SAMPLE_SIZE)] if len(pool) > SAMPLE_SIZE else []
             if self.cold:  # no report tells that a cold worker is free; its budget would go unused
                 subsets = [[w for w in self.cold if self._cold_budget_left(w) and w in pool], *subsets]
-            # An open connection spares a handshake, and serves where tables are full or new ones fail.
+            # An open connection spares a handshake, and works where tables are full or connects fail.
             if settings.handshake_price > 0 or self.connect_failures > CONNECT_FAILURE_LIMIT:
                 subsets = [[w for w in pool if w.has_idle_connection(self.now, 0.9 * self.max_idle_us)]]
             for subset in (*subsets, pool):
-                fits = self._candidates(request, subset, TRIAL_DOUBT, may_guess)
-                if not fits and subset is pool and (limit := self._doubt_limit()) > TRIAL_DOUBT:
-                    fits = self._candidates(request, subset, limit, may_guess)
+                candidates = self._candidates(request, subset, TRIAL_DOUBT, may_guess)
+                if not candidates and subset is pool and (limit := self._doubt_limit()) > TRIAL_DOUBT:
+                    candidates = self._candidates(request, subset, limit, may_guess)
                 if probe_first:  # only workers whose free slot was reported just now
-                    fits = [f for f in fits if self.now - f[0].reported_at < self.probe_valid_us]
-                if fits:
+                    candidates = [c for c in candidates if self.now - c[0].reported_at < self.probe_valid_us]
+                if candidates:
                     weights = [free / max(self._pace(w), LEARN_RATE) ** speed_exponent * self._start_weight(w)
-                               for w, free in fits]
-                    return self.rng.choices(fits, weights)[0][0]
+                               for w, free in candidates]
+                    return self.rng.choices(candidates, weights)[0][0]
             if probe_first and self._probe_some(pool):
                 return None
             wait = min(0.5, CROSS_ZONE_PATIENCE * settings.cross_zone_price) * slack
@@ -489,7 +491,7 @@
                 if kind else worker.pace)
 
     def _start_weight(self, worker: Worker) -> float:
-        """Weigh a worker by waits for the start, the one sign of others' jobs, and by its zone's silence."""
+        """Return a worker's weight: by waits for starts, the one sign of others' jobs, and zone silence."""
         connection_us = self.least_wait_us.get((
             worker.entry.zone != self.settings.zone,
             not worker.has_idle_connection(self.now, self.max_idle_us)), 0.0)
@@ -555,12 +557,12 @@
             warmth = settings.cold_from + (1 - settings.cold_from) * max(
                 0, self.now - worker.cold_since) / settings.warm_up_us
             run_us, slots = self.mean_run_us * max(self._pace(worker), 1.0), worker.slots
-            if not settings.reports and self.local:  # guide: a worker's load when all use their quotas
+            if not settings.reports and self.local:  # assume the load when all tenants use their quotas
                 slots = max(slots, self.even_rate * settings.dispatchers * self.mean_run_us / 1e6 / len(
                     self.local))
             budget = COLD_BUDGET_SHARE * settings.fall_multiple * warmth * settings.fall_us * slots / run_us
             budget -= COLD_MARGIN_DEVIATIONS * math.sqrt(min(budget, (settings.dispatchers - 1) / 4))
-            if not settings.reports:  # a budget is used at once, so it may only keep it as busy as others
+            if not settings.reports:  # used at once, so it must not keep it busier than others
                 budget = min(budget, COLD_CAPACITY_MULTIPLE * warmth * settings.fall_us * slots / run_us)
             worker.window_pushes = int(
                 max(0.0, budget) * self.quota_multiple / settings.dispatchers + self.rng.random())
@@ -667,13 +669,13 @@
             self.connect_failures += 2 * LEARN_RATE * (
                 (event.outcome is api.Outcome.CONNECT_FAILED) - self.connect_failures)
         elif event.outcome is api.Outcome.RESET and event.spent_us < self.settings.tick_us:
-            self.max_idle_us = min(self.max_idle_us, attempt.idle_us / 2)  # the connection was gone already
+            self.max_idle_us = min(self.max_idle_us, attempt.idle_us / 2)  # at once: the connection was gone
         slack = self._slack_us(attempt.request.job_class)
         failed = event.outcome is not api.Outcome.SERVED or attempt.began_at - attempt.sent_at > slack
         self.failure_share[attempt.crossed] += LEARN_RATE / 2 * (failed - self.failure_share[attempt.crossed])
         self.failure_share[True] *= 1 - LEARN_RATE / 20  # so that failed crossings are tried again some time
         self._release_if_draining(worker)
-        run_us = min(event.spent_us, self.now - attempt.began_at)  # without the wait, where starts are told
+        run_us = min(event.spent_us, self.now - attempt.began_at)  # without the wait, if starts are reported
         self._learn_from(worker, attempt, event.outcome, run_us)
         self._take_report(worker, event.report)
         if event.complete:
@@ -806,7 +808,7 @@
         self._drop(request.id)
 
     def _on_abandoned(self, event: api.Abandoned) -> None:
-        """Forget a request whose client is gone; its open attempts are cancelled where that is allowed."""
+        """Forget a request whose client is gone; if allowed, cancel its attempts, now useless."""
         if self.settings.may_cancel and (request := self.requests.get(event.request)):
             self.actions += [
                 api.Cancel(request.id, n) for n, a in enumerate(request.attempts) if not a.outcome]
--- a/hazellead/lab/measure_learning.py
+++ b/hazellead/lab/measure_learning.py
@@ -244,9 +244,9 @@
         """Wrap a scheduler."""
         self._scheduler, self.settings = scheduler, scheduler.settings
 
-    def known(self) -> SharedEstimates:
+    def export_estimates(self) -> SharedEstimates:
         """Return false paces, slots and delays, and estimates that call every worker broken and draining."""
-        now = max([w.pace.at_us for w in self._scheduler.known().workers], default=0)
+        now = max([w.pace.at_us for w in self._scheduler.export_estimates().workers], default=0)
         weight = 1e6
         return SharedEstimates(workers=tuple(
             replace(w, pace=Estimate(50.0 if w.worker % 2 else 0.02, weight, now + 10**9),
@@ -254,12 +254,12 @@
                     delay=Estimate(6e8 if w.worker % 3 else 0.0, weight, now),
                     blame=Estimate(64.0, weight, now), broke=Estimate(1.0, weight, now),
                     drain=Estimate(1.0, weight, now))
-            for w in self._scheduler.known().workers),
+            for w in self._scheduler.export_estimates().workers),
             runs=(Estimate(1.0, weight, now),), factor=Estimate(100.0, weight, now))
 
-    def learn(self, known: SharedEstimates) -> None:
+    def adopt_estimates(self, estimates: SharedEstimates) -> None:
         """Pass others' estimates on unchanged: the scheduler itself serves normally."""
-        self._scheduler.learn(known)
+        self._scheduler.adopt_estimates(estimates)
 
     @property
     def workers(self) -> tuple[api.WorkerEntry, ...]:
@@ -358,15 +358,15 @@
         def __init__(self, *, without_facts: bool) -> None:
             self.without_facts, self.facts = without_facts, 0
 
-        def known(self) -> SharedEstimates:
+        def export_estimates(self) -> SharedEstimates:
             if self.without_facts:
                 return SharedEstimates()
             now = Clock().now_us()
             return SharedEstimates(tuple(
                 WorkerEstimates(w.number, 0, pace=Estimate(1 / w.speed, 40, now)) for w in fleet))
 
-        def learn(self, known: SharedEstimates) -> None:
-            self.facts = max(self.facts, sum(w.pace.weight > 0 for w in known.workers))
+        def adopt_estimates(self, estimates: SharedEstimates) -> None:
+            self.facts = max(self.facts, sum(w.pace.weight > 0 for w in estimates.workers))
 
         @property
         def workers(self) -> tuple[api.WorkerEntry, ...]:
--- a/tests/test_generations.py
+++ b/tests/test_generations.py
@@ -36,43 +36,44 @@
         self.dispatcher = Dispatcher(self.now.settings, 1)
         self.clock = 0
 
-    @rule(at=st.integers(0, 9))
-    def submit(self, at: int) -> None:
-        at %= len(self.names)
-        number = self.now.class_ids[at]
+    @rule(pick=st.integers(0, 9))
+    def submit(self, pick: int) -> None:
+        pick %= len(self.names)
+        number = self.now.class_ids[pick]
         self.open_jobs.append((number, self.now.tenant_ids[0], self.now.settings.classes[number],
                                self.now.settings.attempt_limit(number)))
         self.clock += 4000
         self.dispatcher.handle(
             self.clock, [api.Arrival(len(self.open_jobs), number, 900_000, self.now.tenant_ids[0])])
 
-    @rule(at=st.integers(0, 9))
-    def end(self, at: int) -> None:
+    @rule(pick=st.integers(0, 9))
+    def end(self, pick: int) -> None:
         if self.open_jobs:
-            del self.open_jobs[at % len(self.open_jobs)]
+            del self.open_jobs[pick % len(self.open_jobs)]
 
     @rule(names=st.lists(st.sampled_from(["post", "refund", "x", "y"]), min_size=1, unique=True),
-          kinds=st.lists(st.sampled_from(KINDS), min_size=4, max_size=4), most=st.integers(1, 3),
+          kinds=st.lists(st.sampled_from(KINDS), min_size=4, max_size=4), attempts=st.integers(1, 3),
           tenants=st.lists(st.sampled_from(TENANTS), min_size=1, unique=True))
-    def reload(self, names: list[str], kinds: list[api.JobClass], most: int, tenants: list[str]) -> None:
+    def reload(self, names: list[str], kinds: list[api.JobClass], attempts: int, tenants: list[str]) -> None:
         before = self.now
         settings = api.Settings(tuple(kinds[:len(names)]), tuple(api.Tenant(0.5, 10) for _ in tenants),
-                                max_attempts=most)
+                                max_attempts=attempts)
         self.now = generations.next_after(before, settings, names, tenants, {n for n, *_ in self.open_jobs},
                                           {t for _, t, *_ in self.open_jobs})
         self.names = names
         assert self.now.number == before.number + 1
         for name, kind, number in zip(names, kinds, self.now.class_ids, strict=False):
             rules = self.now.settings.classes[number]
-            assert self.now.class_rows[number][0] == name and self.now.settings.attempt_limit(number) == most
+            assert (self.now.class_rows[number][0] == name
+                    and self.now.settings.attempt_limit(number) == attempts)
             assert replace(rules, max_attempts=0, alone=False) == kind
-            assert (number in self.now.fresh) == (
+            assert (number in self.now.new_classes) == (
                 number >= len(before.class_rows) or before.class_rows[number] != self.now.class_rows[number])
         assert len(set(self.now.class_ids)) == len(names) and len(set(self.now.tenant_ids)) == len(tenants)
         for name, number in zip(tenants, self.now.tenant_ids, strict=True):
             assert self.now.tenant_rows[number][0] == name
         self.clock += 4000
-        self.dispatcher.handle(self.clock, [api.SettingsChanged(self.now.settings, self.now.fresh)])
+        self.dispatcher.handle(self.clock, [api.SettingsChanged(self.now.settings, self.now.new_classes)])
 
     @invariant()
     def open_jobs_keep_their_rules(self) -> None:
@@ -99,7 +100,7 @@
     now = generations.next_after(before, once, ["post"], [], {0}, {0})
     assert now.class_ids == (1,) and now.settings.classes[0].effect is api.Effect.SAFE
     second = pushes(dispatcher.handle(
-        4000, [api.SettingsChanged(now.settings, now.fresh), api.Arrival(2, 1, 5_000_000)]))
+        4000, [api.SettingsChanged(now.settings, now.new_classes), api.Arrival(2, 1, 5_000_000)]))
     assert [p.request for p in second] == [2]
     reset = api.Outcome.RESET
     actions = dispatcher.handle(64_000, [api.AttemptEnded(1, 0, first[0].worker, reset, 64_000, False),
@@ -121,8 +122,8 @@
     assert dispatcher.class_run_us[0] > 250_000
     settings = api.Settings((KINDS[2], KINDS[5]), max_attempts=2)
     now = generations.next_after(before, settings, ["post", "v2"], [], (), ())
-    dispatcher.handle(17_000_000, [api.SettingsChanged(now.settings, now.fresh)])
-    assert now.fresh and dispatcher.class_run_us[now.class_ids[1]] == dispatcher.mean_run_us > 250_000
+    dispatcher.handle(17_000_000, [api.SettingsChanged(now.settings, now.new_classes)])
+    assert now.new_classes and dispatcher.class_run_us[now.class_ids[1]] == dispatcher.mean_run_us > 250_000
 
 
 def test_too_many_tenants_are_refused_and_class_numbers_are_reused() -> None:
