--- a/hazellead/__main__.py
+++ b/hazellead/__main__.py
@@ -104,10 +104,11 @@
             self.workers = HttpWorkers(self.watch, configuration.limits, clock)
             self.scheduler.connect(self.workers, self.watch)
         self.handover: PlatformHandover | None = None
-        self.front = HttpRequestHandler(self.scheduler, configuration.names, lambda *event: (
+        self.request_handler = HttpRequestHandler(self.scheduler, configuration.names, lambda *event: (
             self.handover or self.workers).call_back(*event), lambda: self.life.up, self.takes_jobs)
         self.server = HttpServer(
-            configuration.limits, clock, self.front.handle, lambda: self.life.ends_connections(clock.now()))
+            configuration.limits, clock, self.request_handler.handle,
+            lambda: self.life.ends_connections(clock.now()))
         self.console: HttpServer | None = None
         if configuration.console:
             console_limits = configuration.limits.for_console()
@@ -118,7 +119,7 @@
 
             self.handover = handover.PlatformHandover(
                 self.life, clock, self.scheduler, self.server, self.workers, self.watch, configuration,
-                self.front, lambda: listen(
+                self.request_handler, lambda: listen(
                     self.server, configuration.listen, configuration.limits.backlog), predecessor)
         else:
             listen(self.server, configuration.listen, self.limits.backlog)
@@ -236,7 +237,7 @@
     def _apply(self, generation: Generation, configuration: config.Config) -> None:
         """Apply new settings to the dispatcher and the servers in one step, for jobs from now on."""
         self.scheduler.apply_generation(generation)
-        self.front.names = configuration.names
+        self.request_handler.names = configuration.names
         self.metrics.add_classes(configuration.names.classes)
         if self.watch:
             self.watch.update_names(configuration.names)
@@ -253,7 +254,7 @@
                  classes=",".join(configuration.names.classes))
 
     async def stop(self) -> None:
-        """Accept jobs for a limited time, then answer the open ones, close connections and stop.
+        """Accept jobs while there is time to answer them, answer the open ones and close connections.
 
         Clients use their connections for as long as these stay open, and a load balancer sends no new clients
         to a scheduler that is ending: closing early would leave these clients without a scheduler.
@@ -265,9 +266,9 @@
         self.drain_timer.start()
         answer_by = now + self.limits.shutdown_answer
         if self.handover:
-            self.handover.pass_on_after(answer_by)
+            self.handover.pass_on_jobs_outlasting(answer_by)
         while self.life.has_successor and self.server.connections and self.clock.now() < answer_by:
-            await asyncio.sleep(self.limits.drain_pause.total_seconds())  # until they are passed on
+            await asyncio.sleep(self.limits.drain_pause.total_seconds())  # until all are passed on or closed
         while not self.life.has_successor and self.takes_jobs():
             await asyncio.sleep(self.limits.drain_poll.total_seconds())
         self.server.close_all_when_idle()
--- a/hazellead/gearman/config.py
+++ b/hazellead/gearman/config.py
@@ -37,9 +37,9 @@
     for name, function in served.items():
         changed_class = replace(classes[function.job_class], deadline_us=to_us(function.deadline))
         if changed_class != classes[function.job_class]:
-            # The decision module takes a request with less time than others of its class had for a client's
-            # later retry, and refuses it as too late. A function with its own deadline therefore gets its
-            # own job class.
+            # The dispatcher takes a request with less time than others of its class had for a client's later
+            # retry, and refuses it as too late. A function with its own deadline therefore gets its own job
+            # class.
             served[name] = replace(function, job_class=len(classes))
             classes.append(changed_class)
     base = replace(base, settings=replace(base.settings, classes=tuple(classes)))
--- a/hazellead/gearman/jobs.py
+++ b/hazellead/gearman/jobs.py
@@ -21,7 +21,7 @@
 Key = tuple[bytes, bytes]  # function name and unique key
 
 
-class Listener(Protocol):
+class JobListener(Protocol):
     """A client connection that is sent a job's packets."""
 
     wants_exceptions: bool
@@ -44,19 +44,19 @@
         self.handle, self.function, self.key = handle, function, key
         self.background, self._on_end = background, on_end
         self.number = 0  # the scheduler's request number; 0 until it has accepted the job
-        self.listeners: list[Listener] = []
+        self.listeners: list[JobListener] = []
         self.running, self.done_parts = False, 0  # of PROGRESS_PARTS
         # The type and the result of the last packet; None before the end and after a refusal.
         self.final_packet: tuple[Type, bytes | None] | None = None
         self.ended = False
 
-    def join(self, listener: Listener) -> None:
+    def join(self, listener: JobListener) -> None:
         """Add a waiting client; if the job is running, send it the progress."""
         self.listeners.append(listener)
         if self.running:
             listener.send(Type.WORK_STATUS, self.handle, *self.status())
 
-    def leave(self, listener: Listener) -> bool:
+    def leave(self, listener: JobListener) -> bool:
         """Remove a client; return whether the job is unfinished, in the foreground and without clients."""
         self.listeners = [other for other in self.listeners if other is not listener]
         return not self.listeners and not self.background and not self.ended
@@ -101,7 +101,7 @@
         else:
             self._send_to_all(Type.WORK_WARNING if warning else Type.WORK_DATA, data)
 
-    def replay(self, listener: Listener) -> None:
+    def replay(self, listener: JobListener) -> None:
         """Send one client the final packet; WORK_FAIL after a refusal."""
         number, result = self.final_packet or (Type.WORK_FAIL, None)
         listener.send(number, self.handle, *(() if result is None else (result,)))
--- a/hazellead/gearman/workers.py
+++ b/hazellead/gearman/workers.py
@@ -16,9 +16,9 @@
 log = structlog.get_logger()
 
 _ASSIGN_TYPE_FOR_GRAB = {Type.GRAB_JOB: Type.JOB_ASSIGN, Type.GRAB_JOB_UNIQ: Type.JOB_ASSIGN_UNIQ,
-           Type.GRAB_JOB_ALL: Type.JOB_ASSIGN_ALL}
+                          Type.GRAB_JOB_ALL: Type.JOB_ASSIGN_ALL}
 WORK_REPORTS = {Type.WORK_STATUS, Type.WORK_COMPLETE, Type.WORK_FAIL, Type.WORK_EXCEPTION, Type.WORK_DATA,
-           Type.WORK_WARNING}
+                Type.WORK_WARNING}
 TYPES = WORK_REPORTS | set(_ASSIGN_TYPE_FOR_GRAB) | {
     Type.CAN_DO, Type.CAN_DO_TIMEOUT, Type.CANT_DO, Type.RESET_ABILITIES, Type.PRE_SLEEP, Type.SET_CLIENT_ID,
     Type.ALL_YOURS}
--- a/hazellead/lifecycle/handover.py
+++ b/hazellead/lifecycle/handover.py
@@ -38,7 +38,7 @@
     build: timedelta = timedelta(seconds=10)  # from the offer to ready: the new process builds its parts
     commit: timedelta = timedelta(seconds=2)  # for commit, and for started after it
     retry_interval: timedelta = timedelta(milliseconds=200)  # while the other cannot be replaced yet
-    retry_limit: timedelta = timedelta(seconds=4)  # from the first attempt; none begins after it
+    retry_limit: timedelta = timedelta(seconds=4)  # from the first attempt; a refusal after it is final
     pass_on_interval: timedelta = timedelta(milliseconds=20)  # between rounds of passing work on
     flush: timedelta = timedelta(milliseconds=500)  # for the last messages of a process that exits
     call_back: timedelta = timedelta(seconds=1)  # for the answer to a forwarded call-back
@@ -74,7 +74,7 @@
             self.channel.send(kind, sockets, **body)
 
     def forward_call_back(
-        self, identity: str, sender: str, state: str, rest: Any,
+        self, identity: str, sender: str, state: str, payload: Any,
     ) -> "asyncio.Future[int] | None":
         """Forward a call-back to the other process; None if no other process serves.
 
@@ -87,7 +87,7 @@
         # If the other process hangs, 503 makes the worker retry, and by then that process may be gone.
         asyncio.get_running_loop().call_later(
             TIMINGS.call_back.total_seconds(), self._settle_forwarded, number, 503)
-        self._send("call_back", number=number, id=identity, sender=sender, state=state, rest=rest)
+        self._send("call_back", number=number, id=identity, sender=sender, state=state, rest=payload)
         return answer
 
     def _settle_forwarded(self, number: int, status: int) -> None:
@@ -146,7 +146,7 @@
     def __init__(self, path: str, listen: str, handler: PredecessorHandler) -> None:
         """Prepare to offer the address ``listen`` at the socket ``path``."""
         super().__init__(handler)
-        self._path, self._listen, self._predecessor = path, listen, handler
+        self._path, self._listen, self._predecessor_handler = path, listen, handler
         self._socket: socket.socket | None = None
         self._step, self._timer_number = _Step.IDLE, 0  # timers with an earlier number are void
         self._closed = self._successor_takes_jobs = False
@@ -217,13 +217,13 @@
         elif step is _Step.OFFERED and message.kind == "ready":
             self._step = _Step.COMMITTED
             self._start_timer(TIMINGS.commit)
-            self._send("commit", **self._predecessor.stop_accepting())
+            self._send("commit", **self._predecessor_handler.stop_accepting())
         elif step is _Step.COMMITTED and message.kind == "started":
             self._step = _Step.SUCCEEDED
             self.stop_listening()
             log.info("handed_over")
             if self._successor_takes_jobs:
-                self._predecessor.enable_job_passing()
+                self._predecessor_handler.enable_job_passing()
             self._pass_on_repeatedly()
         elif step is _Step.SUCCEEDED and message.kind == "jobs_ready":
             self._settle_batch(message.number("number"), message.texts("ids"))
@@ -236,7 +236,7 @@
         if message.number("version") != PROTOCOL_VERSION or message.text("listen") != self._listen:
             self._send("no", why="another version or address", again=False)
             return
-        offer = self._predecessor.offer()
+        offer = self._predecessor_handler.offer()
         if isinstance(offer, str):
             self._send("no", why=offer, again=True)
             return
@@ -259,7 +259,7 @@
             return
         if channel.unsent >= MAX_UNSENT_MESSAGES:
             return
-        if parked := self._predecessor.park_jobs(MAX_DESCRIPTORS):
+        if parked := self._predecessor_handler.park_jobs(MAX_DESCRIPTORS):
             self._batch.start({p.job.job.identity: p.job.job.identity for p, _ in parked})
             number = self._batch.number
             asyncio.get_running_loop().call_later(
@@ -277,15 +277,15 @@
             return
         given_up, _ = self._batch.settle(number, ready or ())
         self._send("jobs_yours", number=number, ids=given_up)
-        self._predecessor.settle_parked(given_up, refused=ready is not None)
+        self._predecessor_handler.settle_parked(given_up, refused=ready is not None)
         if ready is not None:
             self._offer_jobs()
 
     def _pass_connections(self, channel: Channel) -> None:
         """Report this process's open work and pass on the connections that have no open job."""
-        self._send("left", **self._predecessor.open_work().to_body())
+        self._send("left", **self._predecessor_handler.open_work().to_body())
         while channel.writable and channel.unsent < MAX_UNSENT_MESSAGES:
-            detached = list(itertools.islice(self._predecessor.detach_idle(), MAX_DESCRIPTORS))
+            detached = list(itertools.islice(self._predecessor_handler.detach_idle(), MAX_DESCRIPTORS))
             if not detached:
                 break
             channel.send(
@@ -303,7 +303,7 @@
             return
         if step in (_Step.COMMITTED, _Step.SUCCEEDED):
             log.warning("handover_taken_back", reason=reason)
-            self._predecessor.take_back()
+            self._predecessor_handler.take_back()
             self._take_back_unsent(channel)
             if self._socket is None:
                 self.listen()
--- a/hazellead/lifecycle/handover_roles.py
+++ b/hazellead/lifecycle/handover_roles.py
@@ -46,7 +46,7 @@
     """Acts in either process on the messages of the other."""
 
     def handle_forwarded_call_back(
-        self, identity: str, sender: str, state: str, rest: Any,
+        self, identity: str, sender: str, state: str, payload: Any,
     ) -> "asyncio.Future[int] | None":
         """Handle a call-back that reached the other process; raises MessageError if it is malformed.
 
@@ -110,7 +110,7 @@
 class NullHandler:
     """Handler of a new process that cannot act yet: drops messages and refuses jobs."""
 
-    def handle_forwarded_call_back(self, identity: str, sender: str, state: str, rest: Any) -> None:
+    def handle_forwarded_call_back(self, identity: str, sender: str, state: str, payload: Any) -> None:
         """Ignore the call-back."""
 
     def read_job(self, body: Any) -> PassedJob:
--- a/hazellead/lifecycle/knowledge.py
+++ b/hazellead/lifecycle/knowledge.py
@@ -44,8 +44,9 @@
         runs, demand = (
             {str(k): _decode_estimate(v) for k, v in body[key].items()} for key in ("runs", "demand"))
         return SharedEstimates(tuple(workers), tuple(runs.get(c, Estimate()) for c in classes),
-                     tuple(demand.get(t, Estimate()) for t in tenants), _decode_estimate(body["factor"]),
-                     _finite(body["tokens"].get(t, 0.0) for t in tenants))
+                               tuple(demand.get(t, Estimate()) for t in tenants),
+                               _decode_estimate(body["factor"]),
+                               _finite(body["tokens"].get(t, 0.0) for t in tenants))
     except (AttributeError, KeyError, TypeError, ValueError, OverflowError) as error:
         raise MessageError(f"malformed knowledge: {error}") from None
 
--- a/hazellead/net/server.py
+++ b/hazellead/net/server.py
@@ -68,7 +68,7 @@
         self.from_worker = False  # the last request was a worker's call-back
         self.buffered_bytes = 0  # of a request that is not complete
         self._discarded_bytes = 0  # read while the parser's buffer was full
-        self.closing = self._ended = False  # closed after the answer; closed now, nothing more is read
+        self.closing = self._ended = False  # to be closed after the answer; already shut down or detached
         self.state: State | None = None
         self.enter(State.NEW)
 
@@ -329,7 +329,7 @@
         self._buffered_bytes = 0  # of incomplete requests, over all connections
         self._retry = {"Retry-After": f"{limits.busy_retry.total_seconds():.3f}"}
         self.close_after_answer = close_after_answer
-        self.elsewhere = 0  # clients' connections open in another process of this scheduler (hand-over)
+        self.connections_elsewhere = 0  # clients' connections in another process of this scheduler
         self._sweeper = PeriodicCallback(self.sweep, limits.sweep)
         self._sweeper.start()
 
@@ -353,7 +353,7 @@
     @property
     def full(self) -> bool:
         """Whether the limit is reached, counting the connections of both processes during a hand-over."""
-        return len(self.connections) + self.elsewhere >= self.limits.client_connections
+        return len(self.connections) + self.connections_elsewhere >= self.limits.client_connections
 
     def adopt(self, detached: Detached) -> None:
         """Serve a connection detached by another process."""
@@ -451,7 +451,8 @@
     def end_idle(self) -> None:
         """Close clients' idle connections; to be called again while others may become idle.
 
-        A very new connection is left open: its first request may arrive shortly after the accept.
+        A very new connection is left open: its first request, or a worker's call-back, may arrive shortly
+        after the accept.
         """
         now = self.clock.now()
         for c in list(self.connections):
--- a/hazellead/platform/handover.py
+++ b/hazellead/platform/handover.py
@@ -76,14 +76,14 @@
 
     def __init__(
         self, life: LifeCycle, clock: Clock, scheduler: Scheduler, server: HttpServer, workers: HttpWorkers,
-        watch: Watch, config: Config, front: HttpRequestHandler, listen: Callable[[], list[socket.socket]],
-        predecessor: HandoverTarget | None,
+        watch: Watch, config: Config, request_handler: HttpRequestHandler,
+        listen: Callable[[], list[socket.socket]], predecessor: HandoverTarget | None,
     ) -> None:
         """Listen at the address now, unless a ``predecessor`` serves there: then take its knowledge over."""
         assert config.handover
         self._life, self._clock, self._scheduler, self._server = life, clock, scheduler, server
-        self._workers, self._watch, self._front = workers, watch, front
-        self._passing = JobMigration(scheduler, workers, clock, watch.name, self._number_if_reachable)
+        self._workers, self._watch, self._request_handler = workers, watch, request_handler
+        self._migration = JobMigration(scheduler, workers, clock, watch.name, self._number_if_reachable)
         self._parked, self._reserved = PendingBatch[_ParkedJob](), PendingBatch[_ReservedJob]()
         self._passed_ids: set[str] = set()  # of jobs that the successor has taken over
         self._refused: set[int] = set()  # numbers of jobs that the successor could not continue
@@ -178,7 +178,8 @@
 
     def open_work(self) -> OpenWork:
         """Return what is still open in this process."""
-        attempts = {self._watch.name(worker): out for worker, out in self._scheduler.open_attempts().items()}
+        attempts = {
+            self._watch.name(worker): counts for worker, counts in self._scheduler.open_attempts().items()}
         reported, self._reported_ids = self._reported_ids, self._scheduler.open_identities
         return OpenWork(len(self._server.connections), self._workers.pool.count(), attempts,
                         list(self._reported_ids - reported))
@@ -187,7 +188,7 @@
         """Let jobs that would outlast this process run on, to be passed to the successor."""
         self._scheduler.migrates_jobs = True
 
-    def pass_on_after(self, end: datetime) -> None:
+    def pass_on_jobs_outlasting(self, end: datetime) -> None:
         """From now on pass on the jobs that would not be answered by ``end``."""
         self._answer_by = end
 
@@ -206,7 +207,7 @@
                 break
             if (exchange := connection.exchange) is None or (number := exchange.job) is None:
                 continue
-            if number in self._refused or (job := self._passing.park(number, self._answer_by)) is None:
+            if number in self._refused or (job := self._migration.park(number, self._answer_by)) is None:
                 continue
             copy = None
             if detached := connection.detach_with_job():
@@ -226,7 +227,7 @@
         """Continue with a parked job here, on its client's connection if that was detached."""
         if connection:
             self.adopt(connection)
-        self._passing.resume(number)
+        self._migration.resume(number)
 
     def settle_parked(self, identities: Sequence[str], *, refused: bool) -> None:
         """Forget these of the parked jobs, which the successor now owns, and continue with the others.
@@ -235,7 +236,7 @@
         """
         passed, kept = self._parked.settle(self._parked.number, identities)
         for job in passed:
-            self._passing.forget(job.number)
+            self._migration.forget(job.number)
             self._passed_ids.add(job.identity)
             job.sock.close()
         for job in kept:
@@ -289,7 +290,7 @@
         if len(self._server.connections) + already_reserved >= self._server.limits.client_connections:
             return "too many client connections"
         try:
-            self._passing.check(passed.job, already_reserved)
+            self._migration.check(passed.job, already_reserved)
         except MigrationRefusedError as error:
             return str(error)
         return ""
@@ -300,16 +301,16 @@
         for job in taken:
             assert job.passed and job.offered_at
             # The answer needs only the target and keep-alive of the original request.
-            first = "POST", job.passed.job.job.target, "HTTP/1.1"
-            exchange = Exchange(Message(first, {}, b"", job.passed.keep_alive))
+            start_line = "POST", job.passed.job.job.target, "HTTP/1.1"
+            exchange = Exchange(Message(start_line, {}, b"", job.passed.keep_alive))
             since_offer = self._clock.now() - job.offered_at
             try:
-                number_here = self._passing.take_over(job.passed.job, Reply(exchange), since_offer)
+                number_here = self._migration.take_over(job.passed.job, Reply(exchange), since_offer)
             except MigrationRefusedError as error:  # the settings have changed since the offer
                 log.error("job_lost", job=job.identity, reason=str(error))
                 job.sock.close()
                 continue
-            self._front.follow(exchange, number_here)
+            self._request_handler.follow(exchange, number_here)
             self.adopt(Detached(job.sock, job.passed.received, job.passed.proven, False, exchange))
             self._jobs_taken_over += 1
         for job in left:
@@ -326,37 +327,37 @@
 
     # In either process.
 
-    def call_back(self, identity: str, sender: str, state: str, rest: Any) -> "asyncio.Future[int] | None":
+    def call_back(self, identity: str, sender: str, state: str, payload: Any) -> "asyncio.Future[int] | None":
         """Handle a call-back here, or forward it to the other process if that may own the job.
 
         The future yields the status to answer with; None means 200 at once.
         """
         if undecided := self._undecided(identity):
-            return undecided.defer((identity, sender, state, rest))
+            return undecided.defer((identity, sender, state, payload))
         if not self._workers.awaits(identity, sender):
             for link in (self._predecessor, self._successor):
-                if link and (forwarded := link.forward_call_back(identity, sender, state, rest)):
+                if link and (forwarded := link.forward_call_back(identity, sender, state, payload)):
                     return forwarded
-        self._workers.call_back(identity, sender, state, rest)
+        self._workers.call_back(identity, sender, state, payload)
         return None
 
     def _undecided(self, identity: str) -> _UndecidedJob | None:
         return self._parked.jobs.get(identity) or self._reserved.jobs.get(identity)
 
     def handle_forwarded_call_back(
-        self, identity: str, sender: str, state: str, rest: Any,
+        self, identity: str, sender: str, state: str, payload: Any,
     ) -> "asyncio.Future[int] | None":
         """Handle a call-back that reached the other process; raises MessageError if it is malformed.
 
         If its job was passed to the other process in the meantime, the call-back is forwarded there again.
         """
-        if problem := callback_error(state, rest):
+        if problem := callback_error(state, payload):
             raise MessageError(problem)
         if undecided := self._undecided(identity):
-            return undecided.defer((identity, sender, state, rest))
+            return undecided.defer((identity, sender, state, payload))
         if identity in self._passed_ids:
-            return self._successor.forward_call_back(identity, sender, state, rest)
-        self._workers.call_back(identity, sender, state, rest)
+            return self._successor.forward_call_back(identity, sender, state, payload)
+        self._workers.call_back(identity, sender, state, payload)
         return None
 
     def adopt(self, detached: Detached) -> None:
@@ -372,10 +373,11 @@
 
         The ids that the other process has accepted are remembered as used.
         """
-        self._server.elsewhere, self._workers.pool.elsewhere = (
+        self._server.connections_elsewhere, self._workers.pool.connections_elsewhere = (
             open_work.client_connections, open_work.worker_connections)
-        known = ((self._watch.number(uid), out) for uid, out in open_work.attempts.items())
-        self._scheduler.set_attempts_elsewhere({number: out for number, out in known if number is not None})
+        numbered = ((self._watch.number(uid), counts) for uid, counts in open_work.attempts.items())
+        self._scheduler.set_attempts_elsewhere(
+            {number: counts for number, counts in numbered if number is not None})
         self._scheduler.remember(open_work.new_ids)
 
 
--- a/hazellead/platform/workers.py
+++ b/hazellead/platform/workers.py
@@ -59,7 +59,7 @@
         self._idle: dict[WorkerEndpoint, list[tuple[ClientConnection, datetime]]] = defaultdict(list)
         self._open: set[ClientConnection] = set()
         self._opening = 0
-        self.elsewhere = 0  # connections open in another process of this scheduler during a hand-over
+        self.connections_elsewhere = 0  # in another process of this scheduler during a hand-over
 
     def update_limits(self, limits: Limits) -> None:
         """Use other limits from now on."""
@@ -77,7 +77,8 @@
             if self._usable(endpoint, connection, since):
                 return connection
             connection.close()
-        if self.count() + self.elsewhere >= self._limits.worker_connections and not self._make_room():
+        if (self.count() + self.connections_elsewhere >= self._limits.worker_connections
+                and not self._make_room()):
             raise StreamClosedError(OSError("too many connections to workers"))
         self._opening += 1
         try:
@@ -171,7 +172,7 @@
         self._attempts: dict[tuple[str, str], Attempt] = {}  # by job's id and worker's uid
         self.tasks: dict[Attempt, asyncio.Task[None]] = {}  # attempts whose 202 is still awaited
         self._background: set[asyncio.Task[None]] = set()
-        self._rejecting: set[str] = set()  # uids of workers that answered their last job with 4xx
+        self._rejecting: set[str] = set()  # uids of workers that answered 4xx and no 202 since
         self._returned: OrderedDict[tuple[str, str], None] = OrderedDict()  # handed back; as in _attempts
 
     def update_limits(self, limits: Limits) -> None:
@@ -305,7 +306,8 @@
             return
         if 400 <= message.status < 500 and endpoint.uid not in self._rejecting:
             # A single rejection fails the job without counting against the worker, since the request itself
-            # may be unusable. A worker that rejects everything is blamed from the second rejection in a row.
+            # may be unusable. A worker that rejects everything is blamed from the second rejection
+            # without a 202 in between.
             self._rejecting.add(endpoint.uid)
             log.warning("worker_rejected_job", worker=endpoint.uid, status=message.status,
                         job=attempt.job.identity)
--- a/tests/discovery_model.py
+++ b/tests/discovery_model.py
@@ -19,7 +19,7 @@
 ROUNDING_S = 1e-6  # by which a wait may end early
 
 
-class Crowd(Enum):
+class Overload(Enum):
     """What happens to a call that would be queued for longer than the longest wait."""
 
     REFUSED_AT_ONCE = "refused at once"
@@ -86,10 +86,10 @@
 
     def __init__(
         self, registry: Registry, calls_per_s: float, *, first_version: int = 0, longest_wait: float = 2.0,
-        crowd: Crowd = Crowd.REFUSED_AT_ONCE, lines_per_call: float = 0.0, pushed: bool = False,
+        overload: Overload = Overload.REFUSED_AT_ONCE, lines_per_call: float = 0.0, pushed: bool = False,
     ) -> None:
         self.registry, self.loop = registry, registry.loop
-        self.calls_per_s, self.longest_wait, self.crowd = calls_per_s, longest_wait, crowd
+        self.calls_per_s, self.longest_wait, self.overload = calls_per_s, longest_wait, overload
         self.first_version = first_version
         self.lines_per_call = lines_per_call  # entries that cost as much as a call; 0: no cost
         self.pushed = pushed
@@ -168,13 +168,13 @@
                     if not self.outage:
                         return
                     continue
-                if self.crowd is Crowd.REFUSED_AT_ONCE:
+                if self.overload is Overload.REFUSED_AT_ONCE:
                     self.refused += 1
                     raise RefusedError("status 503")
                 await asyncio.sleep(began + self.longest_wait - self.loop.time())
             if self.loop.time() >= began + self.longest_wait - ROUNDING_S:
                 self.refused += 1
-                if self.crowd is Crowd.RESET_AFTER_WAIT:
+                if self.overload is Overload.RESET_AFTER_WAIT:
                     raise StreamClosedError(ConnectionResetError(104, "Connection reset by peer"))
                 raise RefusedError("status 503")
 
--- a/tests/fleet.py
+++ b/tests/fleet.py
@@ -159,10 +159,10 @@
         self.processes = [Process(self, number) for number in range(size)]
         self._referee = loop.create_task(self._run_referee())
 
-    def add_service(self, address: tuple[str, int], **given: Any) -> Service:
+    def add_service(self, address: tuple[str, int], **options: Any) -> Service:
         """Add a discovery address."""
-        rate = given.pop("calls_per_s", self.calls_per_s)
-        service = Service(self.registry, rate, pushed=self.pushed, **given)
+        rate = options.pop("calls_per_s", self.calls_per_s)
+        service = Service(self.registry, rate, pushed=self.pushed, **options)
         self.network.services[address] = service
         return service
 
--- a/tests/loopback.py
+++ b/tests/loopback.py
@@ -97,11 +97,11 @@
                          ("deadline_ms = 5000", f"deadline_ms = {deadline}")):
             text = text.replace(old, new)
         settings_file.write_text(text)
-        given = load(settings_file, {})
-        assert given.gearman
-        base = replace(given.base, limits=replace(given.base.limits, **limits))
-        given = replace(given, base=base, gearman=replace(given.gearman, base=base))
-        self.program = Program(given.base, given)
+        loaded = load(settings_file, {})
+        assert loaded.gearman
+        base = replace(loaded.base, limits=replace(loaded.base.limits, **limits))
+        loaded = replace(loaded, base=base, gearman=replace(loaded.gearman, base=base))
+        self.program = Program(loaded.base, loaded)
 
     def rewrite_inventory(self, inventory: str) -> None:
         self.inventory.write_text("name,address,protocol,zone,model,state\n" + inventory)
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 import pytest
-from discovery_model import Crowd, Outage
+from discovery_model import Outage, Overload
 from fleet import Fleet, Gate, Verdict, ignores_drains, knows_current_state, real_gate
 from virtual_loop import VirtualLoop, run_virtually
 
@@ -13,20 +13,20 @@
 SIZES = (6, 40, 200, 230)
 
 
-def play(scenario: Scenario, size: int, *, gate: Gate = real_gate, **given: Any) -> Verdict:
+def play(scenario: Scenario, size: int, *, gate: Gate = real_gate, **options: Any) -> Verdict:
     """Run one scenario to its end and return the referee's verdict."""
     async def case(loop: VirtualLoop) -> Verdict:
-        fleet = Fleet(loop, size, gate=gate, **given)
+        fleet = Fleet(loop, size, gate=gate, **options)
         await scenario(fleet)
         return await fleet.end()
 
     return run_virtually(case)
 
 
-def second_address(fleet: Fleet, number: int = 2, **given: Any) -> tuple[str, int]:
+def second_address(fleet: Fleet, number: int = 2, **options: Any) -> tuple[str, int]:
     """Add another discovery address with list versions of its own."""
     address = (f"10.2.0.{number}", 8500)
-    fleet.add_service(address, first_version=100 * number, **given)
+    fleet.add_service(address, first_version=100 * number, **options)
     return address
 
 
@@ -263,8 +263,8 @@
 
 FAULTS: dict[str, tuple[Scenario, dict[str, Any]]] = {
     "silence": (all_watches_fall_silent, {}),
-    "silence, crowd refused late": (all_watches_fall_silent, {"crowd": Crowd.REFUSED_AFTER_WAIT}),
-    "silence, crowd reset late": (all_watches_fall_silent, {"crowd": Crowd.RESET_AFTER_WAIT}),
+    "silence, overload refused late": (all_watches_fall_silent, {"overload": Overload.REFUSED_AFTER_WAIT}),
+    "silence, overload reset late": (all_watches_fall_silent, {"overload": Overload.RESET_AFTER_WAIT}),
     "resets": (all_watches_are_reset, {}),
     "short outage": (short_outage, {}),
     "long outage": (long_outage, {}),
@@ -273,11 +273,13 @@
     "silence, then an outage": (silence_and_then_an_outage, {}),
     "settings": (new_settings_move_discovery, {}),
     "settings, slow discovery": (new_settings_move_discovery_where_it_is_slow, {}),
-    "settings, crowd refused late": (new_settings_move_discovery, {"crowd": Crowd.REFUSED_AFTER_WAIT}),
+    "settings, overload refused late": (
+        new_settings_move_discovery, {"overload": Overload.REFUSED_AFTER_WAIT}),
     "settings in succession": (three_settings_in_quick_succession, {}),
     "rolling restart": (rolling_restart, {}),
     "most are killed": (most_are_killed_at_once, {}),
-    "most are killed, crowd refused late": (most_are_killed_at_once, {"crowd": Crowd.REFUSED_AFTER_WAIT}),
+    "most are killed, overload refused late": (
+        most_are_killed_at_once, {"overload": Overload.REFUSED_AFTER_WAIT}),
     "old lists": (killed_long_before_with_old_lists, {}),
     "restarts in an outage": (restarts_during_a_long_outage, {}),
 }
@@ -295,21 +297,21 @@
 @pytest.mark.parametrize("size", SIZES)
 @pytest.mark.parametrize("fault", FAULTS)
 def test_no_process_sends_to_a_server_after_notification_that_it_leaves(fault: str, size: int) -> None:
-    scenario, given = FAULTS[fault]
-    verdict = play(scenario, size, **given)
+    scenario, options = FAULTS[fault]
+    verdict = play(scenario, size, **options)
     assert verdict.violations == 0, verdict.first_violation
 
 
 @pytest.mark.parametrize("fault", MORE)
 def test_no_process_of_a_fleet_of_forty_does_so_in_rarer_faults(fault: str) -> None:
-    scenario, given = MORE[fault]
-    verdict = play(scenario, 40, **given)
+    scenario, options = MORE[fault]
+    verdict = play(scenario, 40, **options)
     assert verdict.violations == 0, verdict.first_violation
 
 
-def test_no_process_does_so_after_an_outage_whose_crowd_is_let_wait() -> None:
+def test_no_process_does_so_after_an_outage_whose_overload_is_let_wait() -> None:
     """Each call fails after the longest wait, in the outage as well as in the overload that follows it."""
-    verdict = play(short_outage, 40, crowd=Crowd.REFUSED_AFTER_WAIT)
+    verdict = play(short_outage, 40, overload=Overload.REFUSED_AFTER_WAIT)
     assert verdict.violations == 0, verdict.first_violation
 
 
@@ -326,7 +328,7 @@
 
 @pytest.mark.parametrize("fault", [*FAULTS, *MORE])
 def test_the_referee_reports_a_fleet_that_ignores_drains_and_passes_one_that_knows_all(fault: str) -> None:
-    scenario, given = (FAULTS | MORE)[fault]
-    assert play(scenario, 6, gate=ignores_drains, **given).violations > 0
-    correct = play(scenario, 6, gate=knows_current_state, **given)
+    scenario, options = (FAULTS | MORE)[fault]
+    assert play(scenario, 6, gate=ignores_drains, **options).violations > 0
+    correct = play(scenario, 6, gate=knows_current_state, **options)
     assert correct.violations == 0 and correct.served_share == 1.0
--- a/tests/test_gearman_front.py
+++ b/tests/test_gearman_front.py
@@ -296,8 +296,8 @@
 
             def reload(new: str) -> None:
                 settings_file.write_text(new)
-                given = load(settings_file, {})
-                running.program.reload(given.base, given)
+                loaded = load(settings_file, {})
+                running.program.reload(loaded.base, loaded)
 
             (tmp_path / "new.csv").write_text("name,address\nhttp-1,nowhere,1\n")
             new = text.replace('"inventory.csv"', '"new.csv"').replace("post_payment_water", "post_water")
--- a/tests/test_gearman_parts.py
+++ b/tests/test_gearman_parts.py
@@ -355,7 +355,7 @@
 def test_a_function_with_a_deadline_of_its_own_is_a_class_of_its_own(tmp_path: Path) -> None:
     text = (ROOT / "deploy/gearman.toml").read_text().replace("deadline_ms = 5000", "deadline_ms = 300")
     (tmp_path / "g.toml").write_text(text)
-    given = load(tmp_path / "g.toml", {})
-    classes = given.base.settings.classes
+    loaded = load(tmp_path / "g.toml", {})
+    classes = loaded.base.settings.classes
     assert [c.deadline_us for c in classes] == [5_000_000, 300_000]
-    assert [f.job_class for f in given.gearman.functions.values()] == [1, 0]
+    assert [f.job_class for f in loaded.gearman.functions.values()] == [1, 0]
--- a/tests/test_server.py
+++ b/tests/test_server.py
@@ -370,7 +370,7 @@
         client.close()
         met: list[int] = []
         accept = server._handle_connection
-        server._handle_connection = lambda *given: (met.append(1), accept(*given))
+        server._handle_connection = lambda *args: (met.append(1), accept(*args))
         await until(lambda: met and not server.connections)
         assert not taken
         await server.finish()
@@ -499,8 +499,8 @@
             assert (await http_message(reader))[2] == b"ok"
         pairs[1][1].write(b"GET /a HT")  # the next request has begun
         await until(lambda: sum(not c.idle for c in old.connections) == 1)
-        given = [c.detach() for c in sorted(old.connections, key=lambda c: c.idle)]
-        for detached in given:
+        all_detached = [c.detach() for c in sorted(old.connections, key=lambda c: c.idle)]
+        for detached in all_detached:
             assert detached and detached.proven and not detached.from_worker
             new.adopt(detached)
         await until(lambda: not old.connections)
--- a/tests/test_watch.py
+++ b/tests/test_watch.py
@@ -356,7 +356,7 @@
             calls, began = len(discovery.calls), time.monotonic()
             await until(lambda: len(discovery.calls) >= calls + 20)
             pace = SHORT.watch_interval.total_seconds()
-            # All calls but the first start at least one pace after the previous one.
+            # All calls but the first start at least one watch_interval after the previous one.
             assert time.monotonic() - began > (len(discovery.calls) - calls - 1) * pace
             began = time.monotonic()
             await discovery.drain()
--- a/tests/test_workers.py
+++ b/tests/test_workers.py
@@ -166,9 +166,9 @@
     """The worker moved while the connection was opened; another server may listen at its old address now."""
     connect = streams.connect
 
-    async def connect_late(*given: Any) -> Any:
+    async def connect_late(*args: Any) -> Any:
         await asyncio.sleep(0.05)
-        return await connect(*given)
+        return await connect(*args)
 
     async def case() -> None:
         monkeypatch.setattr(streams, "connect", connect_late)
@@ -191,9 +191,9 @@
     """The settings expect connects of 1 ms, but the connection for the retry takes 200 ms."""
     connect, postings = streams.connect, Counter[str]()
 
-    async def connect_late(*given: Any) -> Any:
+    async def connect_late(*args: Any) -> Any:
         await asyncio.sleep(0.2 if postings else 0)
-        return await connect(*given)
+        return await connect(*args)
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         with suppress(asyncio.IncompleteReadError, ConnectionError):
