--- a/hazellead/net/server.py
+++ b/hazellead/net/server.py
@@ -343,7 +343,7 @@
         self._begin(Connection(self, stream))
 
     def _begin(self, connection: Connection) -> None:
-        self.connections.add(connection)  # before its first state change: else its state is never tracked
+        self.connections.add(connection)  # first: later states are tracked only for members of this set
         self.run_in_background(self._run(connection))
 
     def free_descriptor(self) -> None:
--- a/tests/test_discovery.py
+++ b/tests/test_discovery.py
@@ -19,9 +19,9 @@
 NAMES = Names(("a",), (), ("a", "b"), ("m1", "m2"))
 
 
-def target(uid: str, state: str = "up", **rest: Any) -> dict[str, Any]:
+def target(uid: str, state: str = "up", **fields: Any) -> dict[str, Any]:
     return {"uid": uid, "endpoint": "127.0.0.1:80", "az": "b", "model": "m2", "pod_group": 3, "state": state,
-            "capacity_hint": 1.5, "boot_ms": 0, **rest}
+            "capacity_hint": 1.5, "boot_ms": 0, **fields}
 
 
 def listing(rev: int, *targets: dict[str, Any], whole: bool = False) -> dict[str, Any]:
--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -283,7 +283,7 @@
     "old lists": (killed_long_before_with_old_lists, {}),
     "restarts in an outage": (restarts_during_a_long_outage, {}),
 }
-MORE: dict[str, tuple[Scenario, dict[str, Any]]] = {
+RARER_FAULTS: dict[str, tuple[Scenario, dict[str, Any]]] = {
     "quiet time": (trouble_after_ten_quiet_minutes, {}),
     "long queue": (slow_discovery_with_a_long_queue, {}),
     "come again": (servers_leave_and_return, {}),
@@ -302,14 +302,14 @@
     assert verdict.violations == 0, verdict.first_violation
 
 
-@pytest.mark.parametrize("fault", MORE)
+@pytest.mark.parametrize("fault", RARER_FAULTS)
 def test_no_process_of_a_fleet_of_forty_does_so_in_rarer_faults(fault: str) -> None:
-    scenario, options = MORE[fault]
+    scenario, options = RARER_FAULTS[fault]
     verdict = play(scenario, 40, **options)
     assert verdict.violations == 0, verdict.first_violation
 
 
-def test_no_process_does_so_after_an_outage_whose_overload_is_let_wait() -> None:
+def test_no_process_does_so_after_an_outage_whose_overload_makes_calls_wait() -> None:
     """Each call fails after the longest wait, in the outage as well as in the overload that follows it."""
     verdict = play(short_outage, 40, overload=Overload.REFUSED_AFTER_WAIT)
     assert verdict.violations == 0, verdict.first_violation
@@ -321,14 +321,14 @@
 
 @pytest.mark.parametrize("fault", [*sorted(PUSHED), "outage"])
 def test_no_process_does_so_where_lists_are_pushed(fault: str) -> None:
-    scenario = agent_silent_for_a_while if fault == "outage" else (FAULTS | MORE)[fault][0]
+    scenario = agent_silent_for_a_while if fault == "outage" else (FAULTS | RARER_FAULTS)[fault][0]
     verdict = play(scenario, 40, pushed=True)
     assert verdict.violations == 0, verdict.first_violation
 
 
-@pytest.mark.parametrize("fault", [*FAULTS, *MORE])
+@pytest.mark.parametrize("fault", [*FAULTS, *RARER_FAULTS])
 def test_the_referee_reports_a_fleet_that_ignores_drains_and_passes_one_that_knows_all(fault: str) -> None:
-    scenario, options = (FAULTS | MORE)[fault]
+    scenario, options = (FAULTS | RARER_FAULTS)[fault]
     assert play(scenario, 6, gate=ignores_drains, **options).violations > 0
     correct = play(scenario, 6, gate=knows_current_state, **options)
     assert correct.violations == 0 and correct.served_share == 1.0
--- a/tests/test_gearman_parts.py
+++ b/tests/test_gearman_parts.py
@@ -74,7 +74,7 @@
         self.time = VirtualTime()
         self.table = JobTable("n", self.limits, self.time)  # type: ignore[arg-type]
         self.live: dict[bytes, GearmanJob] = {}
-        self.ended: list[tuple[bytes, GearmanJob, Any, int]] = []  # key, ticket, when, size; the oldest first
+        self.ended: list[tuple[bytes, GearmanJob, Any, int]] = []  # key, job, when, size; the oldest first
         self.waiting: dict[bytes, list[RecordingListener]] = {}
 
     @rule(key=st.sampled_from([b"a", b"b", b"c", b"d"]))
--- a/tests/test_lifecycle.py
+++ b/tests/test_lifecycle.py
@@ -104,8 +104,8 @@
 TestLife = Life.TestCase
 
 
-async def call(port: int, what: str) -> int:
-    return await get(port, f"/admin/{what}", "PUT")
+async def call(port: int, command: str) -> int:
+    return await get(port, f"/admin/{command}", "PUT")
 
 
 def test_a_drain_empties_the_scheduler_in_time_and_a_resume_ends_it(tmp_path: Path) -> None:
