--- a/tests/test_fleet_membership.py
+++ b/tests/test_fleet_membership.py
@@ -263,8 +263,8 @@
 
 FAULTS: dict[str, tuple[Scenario, dict[str, Any]]] = {
     "silence": (all_watches_fall_silent, {}),
-    "silence, overload refused late": (all_watches_fall_silent, {"overload": Overload.REFUSED_AFTER_WAIT}),
-    "silence, overload reset late": (all_watches_fall_silent, {"overload": Overload.RESET_AFTER_WAIT}),
+    "silence, crowd refused late": (all_watches_fall_silent, {"overload": Overload.REFUSED_AFTER_WAIT}),
+    "silence, crowd reset late": (all_watches_fall_silent, {"overload": Overload.RESET_AFTER_WAIT}),
     "resets": (all_watches_are_reset, {}),
     "short outage": (short_outage, {}),
     "long outage": (long_outage, {}),
@@ -273,12 +273,12 @@
     "silence, then an outage": (silence_and_then_an_outage, {}),
     "settings": (new_settings_move_discovery, {}),
     "settings, slow discovery": (new_settings_move_discovery_where_it_is_slow, {}),
-    "settings, overload refused late": (
+    "settings, crowd refused late": (
         new_settings_move_discovery, {"overload": Overload.REFUSED_AFTER_WAIT}),
     "settings in succession": (three_settings_in_quick_succession, {}),
     "rolling restart": (rolling_restart, {}),
     "most are killed": (most_are_killed_at_once, {}),
-    "most are killed, overload refused late": (
+    "most are killed, crowd refused late": (
         most_are_killed_at_once, {"overload": Overload.REFUSED_AFTER_WAIT}),
     "old lists": (killed_long_before_with_old_lists, {}),
     "restarts in an outage": (restarts_during_a_long_outage, {}),
@@ -309,7 +309,7 @@
     assert verdict.violations == 0, verdict.first_violation
 
 
-def test_no_process_does_so_after_an_outage_whose_overload_makes_calls_wait() -> None:
+def test_no_process_does_so_after_an_outage_whose_crowd_is_let_wait() -> None:
     """Each call fails after the longest wait, in the outage as well as in the overload that follows it."""
     verdict = play(short_outage, 40, overload=Overload.REFUSED_AFTER_WAIT)
     assert verdict.violations == 0, verdict.first_violation
