--- a/hazellead/core/clock.py
+++ b/hazellead/core/clock.py
@@ -1,4 +1,4 @@
-"""The program's clock, and conversions between times and the decision module's whole microseconds."""
+"""The program's clock, and conversions between times and the dispatcher's whole microseconds."""
 
 import time
 from datetime import UTC, datetime, timedelta
