--- a/hazellead/lab/capacity/hollow_clients.py
+++ b/hazellead/lab/capacity/hollow_clients.py
@@ -36,7 +36,7 @@
     end: str = ""  # served, refused, failed, not let in, lost, forged; "" while it is open
 
     def row(self) -> list[Any]:
-        """Return the fields as a list, in the order of ``real_stand.Row``."""
+        """Return the fields as a list, in the order of ``real_stand.TaskRecord``."""
         return [self.identity, self.scheduler, self.job_class, self.tenant, self.work_s, self.phase,
                 self.sent_ns, self.asked_ns, self.ended_ns, self.end]
 
