--- a/Makefile
+++ b/Makefile
@@ -1,8 +1,9 @@
-# The environment with the pinned libraries and tools; deploy/balancer.toml's build makes one with the libraries.
+# The virtual environment with the pinned libraries and tools. The build command of deploy/balancer.toml makes
+# one with the libraries only.
 VENV ?= .venv
 PYTHON = $(VENV)/bin/python
 
-# The kit of the operators' bench, beside the repository; none of it is committed.
+# The kit of the operators' bench, in a folder beside the repository; no file of it is committed.
 KIT ?= ../given/kit
 
 .PHONY: build test lint run gearman sites measure-learning measure-handover capacity soak
@@ -22,31 +23,33 @@
 	$(PYTHON) -m ruff check .
 	$(PYTHON) -m mypy
 
-# On the platform GW_CONFIG names the configuration.
+# On the platform, the environment variable GW_CONFIG names the configuration file.
 run: build
 	trap '' HUP; exec $(PYTHON) -m hazellead
 
 gearman: build
 	trap '' HUP; exec $(PYTHON) -m hazellead deploy/gearman.toml
 
-# Lay beside our own deployments what the bench looks for there.
+# Copies the kit's site files into deploy/sites, where the bench looks for them.
 sites:
 	cp -f $(KIT)/sites/real.json $(KIT)/sites/wire.json $(KIT)/sites/unlock.txt deploy/sites/
 
-# What learning from a running instance is worth and costs; some fifteen minutes on eight cores.
+# Measures what learning from a running instance gains and costs; takes about fifteen minutes on eight cores.
 measure-learning: build
 	$(PYTHON) -m hazellead.lab.measure_learning
 
-# What replacing a serving process costs its clients, against a restart; a minute.
+# Measures what replacing a serving process costs its clients, compared with a restart; takes a minute.
 measure-handover: build
 	$(PYTHON) -m hazellead.lab.measure_handover
 
-# What the program costs at the users' size: writes docs/capacity/result.json and renders docs/CAPACITY.md from it;
-# under 20 minutes on eight cores. More in `$(PYTHON) -m hazellead.lab.capacity --help`.
+# Measures what the program costs at the users' fleet size: writes docs/capacity/result.json and renders
+# docs/CAPACITY.md from it. Takes under 20 minutes on eight cores; for options see
+# `$(PYTHON) -m hazellead.lab.capacity --help`.
 capacity: build
 	$(PYTHON) -m hazellead.lab.capacity
 
-# Seeded runs of real schedulers under drawn faults, judged from the outside; some 20 s each, two at once.
+# Soak test: seeded runs of real schedulers with random faults, checked from outside the process. A run takes
+# about 20 s; by default two run at once.
 SEED ?= 1
 RUNS ?= 1
 AT_ONCE ?= 2
